--- a/core/include/core/admission.h
+++ b/core/include/core/admission.h
@@ -1,7 +1,9 @@
 /*
- * Admission at a sidecar, where the count is exact: slots, a limit that shrinks below
- * them while the target is slower than it was, and a short queue in which nothing waits
- * that could not start in time; what is on time still goes before what is late.
+ * Admission control of one target at its sidecar, where the number of running requests is
+ * exactly known. It has slots, a concurrency limit that falls below their number while
+ * the target is slower than normal, and a short queue. Requests that could not start in
+ * time are not queued, and queued requests that can still be on time start before late
+ * ones.
  */
 #ifndef CORE_ADMISSION_H
 #define CORE_ADMISSION_H
@@ -12,72 +14,79 @@
 
 typedef enum
 {
-  ADMISSION_START,  /* a slot has been taken */
-  ADMISSION_QUEUED, /* `item` waits; it comes back from admission_next or _expired */
+  ADMISSION_START,  /* the request has a slot */
+  ADMISSION_QUEUED, /* the item is queued, until admission_next, _expired, _displaced or
+                       _withdraw removes it */
   ADMISSION_REFUSED
 } AdmissionAnswer;
 
+/* `clock` is borrowed and must outlive the admission. */
 Admission *admission_create (guint slots, guint queue_max, Clock *clock);
 void admission_destroy (Admission *admission);
 
-/* New settings; what is in flight or waits is left alone. */
+/* Applies new settings. Running and queued requests are not affected. */
 void admission_resize (Admission *admission, guint slots, guint queue_max);
 
-/* Whether the limit follows the target's speed; it does at first. */
+/* Sets whether the limit adapts to the target's latency; initially it does. */
 void admission_set_adaptive (Admission *admission, gboolean adaptive);
 
-/* Bounds starts while the target is cold; borrowed, and NULL for no bound. */
+/* Sets the rate limit on starts while the target is cold; NULL for none. `warmup` is
+   borrowed. */
 void admission_set_warmup (Admission *admission, Warmup *warmup);
 
-/* Whether a request offered now would start at once. */
+/* Whether a request offered now would start immediately. */
 gboolean admission_is_free (const Admission *admission);
 
-/* What a request asks of the admission; times are on the sidecar's clock. */
+/* Priority and time limits of a request; times are on the sidecar's clock. */
 typedef struct
 {
-  guint priority; /* 0 first */
+  guint priority; /* 0 is the highest */
   gint64 deadline_us;
-  gint64 start_by_us; /* it had better be refused than start later; 0 for no such bound */
-  gint64 on_time_by_us; /* started later, its answer is late; 0 for no objective */
+  gint64 start_by_us;   /* latest start, after which it is refused; 0 for none */
+  gint64 on_time_by_us; /* latest start for an answer within the objective; 0 for none */
 } AdmissionOrder;
 
-/* Takes a slot for a request that is still to come; FALSE when none is free. It is given
-   back by admission_release, by the request or in its place. */
+/* Reserves a slot for a request that has not arrived yet; FALSE if none is free. The
+   caller gives it back by admission_release, whether the request comes or not. */
 gboolean admission_hold (Admission *admission);
 
 /*
- * Takes a slot whether one is free or not, for a trial: a target whose slots are all held
- * by work that hangs shows in no other way that it is well again. FALSE when the target
- * is cold and has been given as much as it bears.
+ * Takes a slot for a trial even if none is free, because a target whose slots are all
+ * occupied by hanging requests could not prove its recovery otherwise. FALSE if the
+ * target is cold and its start rate is used up.
  */
 gboolean admission_force (Admission *admission);
 
-/* Asks for a slot. */
+/* Requests a slot, or a place in the queue. */
 AdmissionAnswer
 admission_offer (Admission *admission, gpointer item, const AdmissionOrder *order);
 
-/* An item that made room for one of a higher priority in a full queue, or NULL. */
+/* After ADMISSION_QUEUED: returns the item that was removed from a full queue to make
+   room, or NULL. The next call returns NULL. */
 gpointer admission_displaced (Admission *admission);
 
-/* Gives a slot back; `took_us` is what the target needed, -1 when it says nothing. */
+/* Releases a slot. `took_us` is the target's latency, or -1 if it is not to count. */
 void admission_release (Admission *admission, gint64 took_us);
 
-/* The next item whose turn it is, with its slot taken; NULL when none may start. */
+/* Removes the next item from the queue and takes a slot for it; NULL if none may start
+   now. */
 gpointer admission_next (Admission *admission);
 
-/* A waiting item whose time is over, taken out; NULL when there is none. */
+/* Removes an item that can no longer start in time; NULL if there is none. */
 gpointer admission_expired (Admission *admission);
 
-/* Takes a waiting item out; FALSE when it does not wait. */
+/* Removes an item from the queue; FALSE if it is not queued. */
 gboolean admission_withdraw (Admission *admission, gpointer item);
 
 guint admission_in_use (const Admission *admission);
 guint admission_queued (const Admission *admission);
-/* Slots that may be in use; no more than are, while a cold target is given nothing. */
+/* Returns the concurrency limit; while the start rate of a cold target is used up, the
+   number of slots in use, but at least 1. */
 guint admission_limit (const Admission *admission);
-/* When to come back: about the time that what is ahead will need. */
+/* Returns a retry delay for the caller: the estimated wait at the end of the queue, at
+   least 100 ms. */
 gint64 admission_retry_after_us (const Admission *admission);
-/* When the first waiting item's time is over, or -1. */
+/* Returns the earliest deadline in the queue, or -1 if it is empty. */
 gint64 admission_next_expiry_us (const Admission *admission);
 
 #endif
--- a/core/include/core/balancer.h
+++ b/core/include/core/balancer.h
@@ -1,6 +1,8 @@
 /*
- * The ingress's choice of a target: its view of targets and of the nodes before them,
- * the floor, spread over the halls, trials of ejected targets, broken paths.
+ * Load balancer of an ingress. It keeps the ingress's view of the targets and of the
+ * paths to their nodes, and chooses a target for each attempt: it ejects sick targets
+ * down to the service's floor, spreads load over the halls, sends trials to sick targets,
+ * and avoids broken paths.
  */
 #ifndef CORE_BALANCER_H
 #define CORE_BALANCER_H
@@ -10,12 +12,12 @@
 
 typedef struct Balancer Balancer;
 
-/* What a sidecar says of one of its targets. */
+/* A sidecar's report on one of its targets. */
 typedef struct
 {
   const char *target;
-  guint64 incarnation; /* the sidecar's */
-  guint serial;        /* rises within one incarnation; an older one is dropped */
+  guint64 incarnation; /* of the sidecar */
+  guint serial; /* rises within an incarnation; reports with a lower one are dropped */
   guint in_use;
   guint limit;
   guint queued;
@@ -23,13 +25,13 @@
   guint failures_ppm;
   guint samples;
   guint severity;
-  gboolean slow; /* sick by slowness alone */
+  gboolean slow; /* sick only because it is slow */
   gboolean draining;
-  gboolean shedding; /* it has lately turned work away though it had free slots */
-  gboolean abrupt;   /* sick, and it breaks off at once what it is sent */
+  gboolean shedding; /* it recently refused work although it had free slots */
+  gboolean abrupt;   /* sick, and it closes connections at once without an answer */
 } TargetReport;
 
-/* The part of a report that gossip carries. */
+/* The part of a report that is spread by gossip. */
 typedef struct
 {
   guint64 incarnation;
@@ -40,112 +42,114 @@
   gboolean abrupt;
 } TargetVerdict;
 
-/* Whether a request may be spent on learning whether a sick target is well again. */
+/* Whether a request may be used as a trial, to see if a sick target has recovered. */
 typedef enum
 {
   BALANCER_NO_TRIAL,
   BALANCER_TRIAL_DUE
 } BalancerTrial;
 
-/* Which data halls a request had better stay in. */
+/* Preference between the data halls; "own" is the hall of the ingress. */
 typedef enum
 {
-  BALANCER_BY_LOAD,      /* its own, while that is not much more loaded */
-  BALANCER_OWN_FIRST,    /* its own, if any target there is left */
-  BALANCER_OTHERS_FIRST, /* another, if any target there is left */
-  BALANCER_OWN_BEST,     /* its own alone, and there the one with the shortest wait */
-  BALANCER_SHORTEST_WAIT /* its own, while another's wait is not much shorter */
+  BALANCER_BY_LOAD,   /* own hall, unless its pick is loaded and another's is less so */
+  BALANCER_OWN_FIRST, /* own hall, if it has a candidate */
+  BALANCER_OTHERS_FIRST, /* another hall, if one has a candidate */
+  BALANCER_OWN_BEST,     /* own hall only: the target with the shortest wait */
+  BALANCER_SHORTEST_WAIT /* own hall, unless the wait in another is clearly shorter */
 } BalancerHalls;
 
-/* What becomes of targets that turn work away though they have free slots. */
+/* Use of targets that shed load, refusing work although they have free slots. */
 typedef enum
 {
-  BALANCER_SHEDDING_LAST,  /* one of them where there is no other */
-  BALANCER_SHEDDING_NEVER, /* none rather than one of them */
-  BALANCER_SHEDDING_ONLY   /* none rather than another */
+  BALANCER_SHEDDING_LAST,  /* only if there is no steady candidate */
+  BALANCER_SHEDDING_NEVER, /* never */
+  BALANCER_SHEDDING_ONLY   /* choose only among them */
 } BalancerShedding;
 
-/* What is wanted of a choice. */
+/* Parameters of a choice. */
 typedef struct
 {
   BalancerTrial trial;
   BalancerHalls halls;
   BalancerShedding shedding;
-  const GPtrArray *tried; /* names that are left out; may be NULL */
+  const GPtrArray *tried; /* names of targets to leave out; may be NULL */
 } BalancerWish;
 
 typedef struct
 {
-  const Target *target;  /* NULL when none can take it */
-  gboolean trial;        /* an ejected target, given a chance to show that it is well */
-  gboolean local;        /* it is of this ingress's hall */
-  gboolean sick;         /* it is held sick, and was chosen all the same */
-  gboolean abrupt;       /* the service's sick targets break off at once what they get */
-  gint64 retry_after_us; /* for none */
+  const Target *target; /* borrowed from the service; NULL if none is suitable */
+  gboolean trial;       /* the target is sick, and the request is a trial of it */
+  gboolean local;       /* the target is in the ingress's own hall */
+  gboolean sick;        /* the target is sick and was chosen nevertheless */
+  gboolean abrupt; /* most sick targets of the service fail at once, without a hang */
+  gint64 retry_after_us; /* delay for the caller if there is no target */
 } BalancerChoice;
 
-/* `hall` is the ingress's own; `rand` and `clock` are borrowed. */
+/* `hall` is the ingress's own. `rand` and `clock` are borrowed and must outlive the
+   balancer. */
 Balancer *balancer_create (const char *hall, GRand *rand, Clock *clock);
 void balancer_destroy (Balancer *balancer);
 
-/* Forgets targets that the snapshot no longer names. */
+/* Removes targets that are not in the snapshot and have no attempt in flight. */
 void balancer_prune (Balancer *balancer, const Snapshot *snapshot);
 
 void balancer_note_report (Balancer *balancer, const TargetReport *report);
 
-/* Of the same sidecar and serial numbers as reports. */
+/* Records a verdict. Verdicts share incarnations and serial numbers with reports. */
 void balancer_note_verdict (Balancer *balancer,
                             const char *target,
                             const TargetVerdict *verdict);
 
 /*
- * What the membership says of a node; nodes never spoken of count as reachable. Reports
- * of another incarnation than the node's present one no longer count.
+ * Records the membership's view of a node. A node without a record counts as alive.
+ * Reports from an incarnation other than the recorded one are ignored in choices.
  */
 void balancer_set_member (Balancer *balancer,
                           const char *vm,
                           guint64 incarnation,
                           gboolean alive);
 
-/* How many ingresses share the fleet: they share the trials too. */
+/* Sets the number of ingresses in the fleet, among which the trials are divided. */
 void balancer_set_ingresses (Balancer *balancer, guint count);
 
-/* Closes the path to a node, or opens it: it gets nothing from here while another can. */
+/* Opens or closes the path to a node. Over a closed path this ingress sends requests only
+   if no target is reachable otherwise. */
 void balancer_set_path (Balancer *balancer, const char *vm, gboolean open);
 
-/* A node has not answered at once: it gets work where nobody else can take it, until
-   balancer_note_path says that it answered, and for a second at the most. */
+/* Marks a node that did not answer promptly. Its targets are chosen only if there is no
+   other healthy one, until balancer_note_path reports an answer, for at most 1 s. */
 void balancer_doubt_path (Balancer *balancer, const char *vm);
 
-/* How a call to a node's sidecar went, for the breaker of the path there. */
+/* Records whether a node's sidecar answered a call, for its path's circuit breaker. */
 void balancer_note_path (Balancer *balancer, const char *vm, gboolean answered);
 
-/* Picks a target for one attempt. Trials are for requests that may be repeated. */
+/* Chooses a target for one attempt. Only repeatable requests may be used for trials. */
 BalancerChoice
 balancer_choose (Balancer *balancer, const Service *service, const BalancerWish *wish);
 
-/* An attempt is on its way to a target, or has come back. */
+/* Record the start and the end of an attempt at a target. */
 void balancer_begin (Balancer *balancer, const char *target);
 void balancer_end (Balancer *balancer, const char *target);
 
-/* The median of the failures of a service's targets in a million, for a sidecar to
-   compare its own with; 0 when too few are known. */
+/* Returns the median failure rate of a service's targets, in failures per million, for
+   a sidecar to compare its own targets with; 0 if fewer than two are known. */
 guint balancer_failures_ppm (Balancer *balancer, const Service *service);
 
-/* How the ingress sees one target. */
+/* The ingress's view of one target. */
 typedef struct
 {
-  TargetReport report; /* `target` borrowed from the service */
-  gboolean known;      /* a report has come */
-  gboolean alive;
-  gboolean path_open; /* the breaker lets work through */
+  TargetReport report; /* `target` is borrowed from the service */
+  gboolean known;      /* a report has been received */
+  gboolean alive;      /* the node, according to the membership */
+  gboolean path_open;  /* requests may be sent to the node */
   gboolean ejected;
 } TargetStatus;
 
 TargetStatus
 balancer_status (Balancer *balancer, const Service *service, const Target *target);
 
-/* Slots of a service that are in service now: available and not ejected. */
+/* Returns the number of a service's slots that are available and not ejected. */
 guint balancer_slots_in_service (Balancer *balancer, const Service *service);
 
 #endif
--- a/core/include/core/dispatch.h
+++ b/core/include/core/dispatch.h
@@ -1,9 +1,10 @@
 /*
- * The ingress's side of one request: which attempt to make, when to ask the fence, and
- * what the caller hears. No I/O: the owner carries out each step and reports back.
+ * The state machine of one request at the ingress: when to send an attempt, when to query
+ * the fence, and what to answer the caller. It does no I/O: the owner carries out each
+ * step and reports the result.
  *
- * An unrepeatable request goes to another target only after proof that the attempt
- * before did not run and never will (refused, fenced, or never sent).
+ * An unrepeatable request goes to another target only after proof that the previous
+ * attempt did not run and never will (refused, fenced, or never sent).
  */
 #ifndef CORE_DISPATCH_H
 #define CORE_DISPATCH_H
@@ -17,102 +18,104 @@
 typedef struct
 {
   gboolean repeatable;
-  gboolean call;      /* made by a target */
-  gboolean repeat;    /* and for a request that is not at its first attempt */
-  gboolean pinned;    /* one attempt at one target: a ticket's */
+  gboolean call;      /* the caller is itself a target serving a request */
+  gboolean repeat;    /* and the request that it serves is a retry */
+  gboolean pinned;    /* the request has a ticket: one attempt at one target */
   gint64 deadline_us; /* on the ingress's clock */
-  gint64 slack_us;    /* past the deadline, until the caller is told at the latest */
-  guint attempts_max; /* targets that the request may reach */
+  gint64 slack_us;    /* longest delay of the answer after the deadline */
+  guint attempts_max; /* attempts that a target may have seen */
 } DispatchPolicy;
 
-/* What the owner does next. */
+/* The next action of the owner. */
 typedef enum
 {
-  DISPATCH_CHOOSE, /* find a target and call dispatch_chosen */
+  DISPATCH_CHOOSE, /* choose a target, then call dispatch_chosen */
   DISPATCH_SEND,   /* send a new attempt, and wait `wait_us` for its answer */
-  DISPATCH_ASK,    /* ask the fence about the last attempt, and wait `wait_us` */
+  DISPATCH_ASK,    /* query the fence about the last attempt, and wait `wait_us` */
   DISPATCH_PAUSE,  /* wait `wait_us`, then call dispatch_resume */
-  DISPATCH_ANSWER  /* tell the caller; the dispatch is over */
+  DISPATCH_ANSWER  /* answer the caller; the dispatch has ended */
 } DispatchKind;
 
 typedef struct
 {
   DispatchKind kind;
   gint64 wait_us;
-  gint64 hold_us;      /* for ASK: how long the sidecar may hold its answer */
-  gint64 remaining_us; /* for SEND: until the deadline */
-  Outcome outcome;     /* for ANSWER */
+  gint64 hold_us;      /* for ASK: how long the sidecar may wait for the attempt's end */
+  gint64 remaining_us; /* for SEND: time until the deadline */
+  Outcome outcome;     /* for ANSWER, as the two below */
   Reason reason;
   gint64 retry_after_us;
 } DispatchStep;
 
-/* What came back of an attempt, or of a question about it. */
+/* The result of an attempt, or of a query to the fence. */
 typedef enum
 {
-  DISPATCH_DONE,    /* a whole answer, which the owner holds */
-  DISPATCH_FAULT,   /* a whole answer that says the target failed; the owner holds it */
-  DISPATCH_REFUSED, /* proof that it did not run and never will */
-  DISPATCH_FAILED,  /* it started, and no whole answer came */
-  DISPATCH_STARTED, /* it runs still (to a question only) */
-  DISPATCH_UNSURE,  /* the sidecar cannot tell */
+  DISPATCH_DONE,    /* a complete answer, which the owner keeps */
+  DISPATCH_FAULT,   /* a complete answer reporting a failure; the owner keeps it */
+  DISPATCH_REFUSED, /* proof that the attempt did not run and never will */
+  DISPATCH_FAILED,  /* the attempt started, but gave no complete answer */
+  DISPATCH_STARTED, /* the attempt is still running */
+  DISPATCH_UNSURE,  /* the sidecar cannot tell whether the attempt ran */
   DISPATCH_UNSENT,  /* the message never left this node */
-  DISPATCH_LOST     /* no answer: nothing is known */
+  DISPATCH_LOST     /* no answer from the sidecar: the attempt may have run */
 } DispatchReport;
 
-/* `rand` is borrowed. */
+/* `policy` is copied; `rand` and `clock` are borrowed and must outlive the dispatch. */
 Dispatch *dispatch_create (const DispatchPolicy *policy, GRand *rand, Clock *clock);
 void dispatch_destroy (Dispatch *dispatch);
 
 DispatchStep dispatch_begin (Dispatch *dispatch);
 
-/* After CHOOSE; `found` FALSE when no target can take it, with when to come back. */
+/* Reports the result of CHOOSE. `found` is FALSE if no target can take the request;
+   `retry_after_us`, if above 0, is then the caller's retry delay. */
 DispatchStep dispatch_chosen (Dispatch *dispatch, gboolean found, gint64 retry_after_us);
 
-/* Instead of it: the request is held back (core/quarantine.h), and not sent any more. */
+/* Reports, instead of dispatch_chosen, that the request is quarantined
+   (core/quarantine.h). No further attempt is made. */
 DispatchStep dispatch_held_back (Dispatch *dispatch, gint64 retry_after_us);
 
-/* After SEND. */
+/* Reports the result of SEND. */
 DispatchStep dispatch_sent (Dispatch *dispatch,
                             DispatchReport report,
                             Reason reason,
                             gint64 retry_after_us);
 
-/* After ASK. */
+/* Reports the result of ASK. */
 DispatchStep dispatch_asked (Dispatch *dispatch,
                              DispatchReport report,
                              Reason reason,
                              gint64 retry_after_us);
 
-/* After PAUSE. */
+/* Continues after PAUSE. */
 DispatchStep dispatch_resume (Dispatch *dispatch);
 
 /*
- * A second attempt beside the one that is on its way: whether there may be one, that it
- * has been sent, and how one of the two ended while the other goes on. The end of the
- * last goes to dispatch_sent.
+ * Hedging: a second attempt while the first is in flight. dispatch_may_hedge tells
+ * whether one is allowed, dispatch_beside_sent records that it was sent, and
+ * dispatch_beside_ended records the result of the attempt that ended first while the
+ * other continues. The result of the remaining attempt goes to dispatch_sent.
  */
 gboolean dispatch_may_hedge (const Dispatch *dispatch);
 void dispatch_beside_sent (Dispatch *dispatch);
 void dispatch_beside_ended (Dispatch *dispatch, DispatchReport report, Reason reason);
 
-/* Whether no other target may see the request after the next. */
+/* Whether the next target to see the request is the last one allowed. */
 gboolean dispatch_is_last_arrival (const Dispatch *dispatch);
 
-/* What the next attempt is to the retry budget of its service, which the sidecars hold.
- */
+/* How the next attempt counts in the service's retry budget, which the sidecars keep. */
 RetryKind dispatch_retry_kind (const Dispatch *dispatch);
 
-/* Time left until the deadline. */
+/* Time until the deadline; negative after it. */
 gint64 dispatch_remaining_us (const Dispatch *dispatch);
 
-/* Attempts that were sent, refused ones too. */
+/* Attempts that were sent, including refused ones. */
 guint dispatch_attempts (const Dispatch *dispatch);
 
-/* Attempts that were refused before any target saw them. */
+/* Attempts that no target saw; includes attempts in flight until they end. */
 guint dispatch_refusals (const Dispatch *dispatch);
 
-/* Attempts that a target may have seen: the last one sent is not counted until it ends.
- */
+/* Attempts that a target may have seen. An attempt in flight is not counted until it
+   ends. */
 guint dispatch_arrivals (const Dispatch *dispatch);
 
 #endif
--- a/core/include/core/fence.h
+++ b/core/include/core/fence.h
@@ -1,21 +1,21 @@
 /*
- * The fence: what a sidecar remembers of attempts that may run at most once.
+ * The fence: a sidecar's table of attempts that may run at most once.
  *
- * An attempt is started at most once, and an attempt that has been answered "not run"
- * is never started afterwards, without leases and without clocks that agree: every
+ * An attempt is started at most once, and an attempt that was reported as not run is
+ * never started afterwards. This needs neither leases nor synchronised clocks: every
  * message about an attempt carries the sidecar's incarnation and a reading of the
- * sidecar's own clock that its sender had seen before it first sent the attempt. A
- * reading that is too old is refused without an entry, so that entries may be
- * forgotten once no message that is still accepted can name them.
+ * sidecar's own clock that the sender obtained before it first sent the attempt. Messages
+ * with too old a reading are refused without an entry, so an entry can be deleted once no
+ * acceptable message can refer to it.
  *
- * model/fence.pml specifies this protocol; its transitions bear the names used here.
+ * model/fence.pml specifies this protocol; its transitions have the names used here.
  */
 #ifndef CORE_FENCE_H
 #define CORE_FENCE_H
 
 #include <core/clock.h>
 
-/* One attempt's identity: unique for ever, since incarnations are never reused. */
+/* Identifies an attempt. Never reused, because a node never reuses an incarnation. */
 typedef struct
 {
   char *node;
@@ -31,65 +31,67 @@
 typedef struct Fence Fence;
 typedef struct FenceEntry FenceEntry;
 
-/* Bounds of a table. */
 typedef struct
 {
-  gint64 window_us; /* how old a clock reading may be, and how long entries are kept */
+  gint64 window_us; /* maximum age of a clock reading, and lifetime of an entry */
   guint entries_max;
-  gsize answers_max; /* bytes of answers kept for a later question */
+  gsize answers_max; /* bytes of answers kept for later queries */
 } FenceLimits;
 
 typedef enum
 {
-  FENCE_QUEUED,   /* known, not started: may still be fenced */
+  FENCE_QUEUED,   /* not started: may still be fenced */
   FENCE_STARTED,  /* recorded before the first byte goes to the target */
-  FENCE_FINISHED, /* the target's part is over, well or badly */
+  FENCE_FINISHED, /* the exchange with the target ended, successfully or not */
   FENCE_TOMBSTONE /* never ran and never will */
 } FenceState;
 
 typedef enum
 {
-  FENCE_NEW,   /* recorded as queued */
-  FENCE_KNOWN, /* this attempt is in the table already: `entry` says how far it is */
-  FENCE_INCARNATION, /* addressed to another incarnation, which alone could tell more */
-  FENCE_STALE,       /* too old a reading: a copy of it may have run and been forgotten */
-  FENCE_FULL         /* no room: never started, and never will be */
+  FENCE_NEW,         /* recorded as queued */
+  FENCE_KNOWN,       /* the attempt has an entry, whose state tells how far it is */
+  FENCE_INCARNATION, /* addressed to another incarnation, which alone knows its state */
+  FENCE_STALE,       /* reading too old: a copy may have run and its entry be deleted */
+  FENCE_FULL         /* table full: the attempt never ran and never will */
 } FenceSubmit;
 
 typedef enum
 {
-  FENCE_NOT_RUN, /* proof: it did not run and never will */
+  FENCE_NOT_RUN, /* proof that the attempt did not run and never will */
   FENCE_RUNNING,
-  FENCE_OVER,   /* it ran; the entry may hold the answer */
-  FENCE_UNKNOWN /* another incarnation's, or too old to tell */
+  FENCE_OVER,   /* the attempt ran; the entry may hold the answer */
+  FENCE_UNKNOWN /* addressed to another incarnation, or the reading is too old */
 } FenceVerdict;
 
-/* `incarnation` is this sidecar's own; the clock is borrowed. */
+/* `incarnation` is this sidecar's own. `clock` is borrowed and must outlive the fence. */
 Fence *fence_create (const FenceLimits *limits, guint64 incarnation, Clock *clock);
 void fence_destroy (Fence *fence);
 guint64 fence_incarnation (const Fence *fence);
 guint fence_size (const Fence *fence);
 
-/* Takes an attempt in. `entry` is set for FENCE_NEW and FENCE_KNOWN. */
+/* Adds an attempt. `entry`, which the fence owns, is set for FENCE_NEW and FENCE_KNOWN
+   and NULL otherwise. An attempt whose reading lies in the future of this sidecar's clock
+   is recorded as a tombstone and reported as FENCE_KNOWN. */
 FenceSubmit fence_submit (Fence *fence,
                           const AttemptId *id,
                           guint64 incarnation,
                           gint64 reading_us,
                           FenceEntry **entry);
 
-/* Records the start; FALSE when the attempt may not start (any more). */
+/* Records the start. Returns FALSE if the attempt must not start. */
 gboolean fence_start (FenceEntry *entry);
 
-/* Records the end of a started attempt, with its answer (may be NULL) for later. */
+/* Records the end of a started attempt. Keeps a reference to `answer`, which may be NULL,
+   unless it alone exceeds `answers_max`; the oldest answers are dropped to make room. */
 void fence_finish (Fence *fence, FenceEntry *entry, GBytes *answer);
 
 /* Turns a queued attempt into a tombstone. */
 void fence_refuse (FenceEntry *entry);
 
 /*
- * Answers a question about an attempt, and makes sure that what is answered "not run"
- * stays so. `reading_us` is the one that the attempt was first sent with. `entry` is
- * set where there is one.
+ * Tells whether an attempt ran, and prevents an attempt reported as FENCE_NOT_RUN from
+ * starting later. `reading_us` is the reading that the attempt was first sent with.
+ * `entry` is set to the attempt's entry, or to NULL if it has none.
  */
 FenceVerdict fence_ask (Fence *fence,
                         const AttemptId *id,
@@ -97,14 +99,14 @@
                         gint64 reading_us,
                         FenceEntry **entry);
 
-/* The entry of an attempt, or NULL; changes nothing. */
+/* Returns the entry of an attempt, or NULL. */
 FenceEntry *fence_find (Fence *fence, const AttemptId *id);
 
 FenceState fence_entry_state (const FenceEntry *entry);
 const AttemptId *fence_entry_id (const FenceEntry *entry);
-/* The answer that was kept, or NULL. */
+/* Returns the kept answer, which the entry owns, or NULL. */
 GBytes *fence_entry_answer (const FenceEntry *entry);
-/* The owner's own pointer, NULL at first. */
+/* A pointer for the fence's user; initially NULL. */
 gpointer fence_entry_data (const FenceEntry *entry);
 void fence_entry_set_data (FenceEntry *entry, gpointer data);
 
--- a/core/include/core/http-status.h
+++ b/core/include/core/http-status.h
@@ -1,6 +1,5 @@
 /*
- * The status codes of HTTP that are used here, by their names in RFC 9110 or a shorter
- * one.
+ * The HTTP status codes used here, named as in RFC 9110 or shorter.
  */
 #ifndef CORE_HTTP_STATUS_H
 #define CORE_HTTP_STATUS_H
@@ -20,7 +19,7 @@
   HTTP_PRECONDITION_FAILED = 412,
   HTTP_MISDIRECTED = 421,
   HTTP_TOO_MANY = 429,
-  HTTP_SERVER_ERROR = 500, /* and above: a failure of the server */
+  HTTP_SERVER_ERROR = 500, /* codes from here on are server errors */
   HTTP_BAD_GATEWAY = 502,
   HTTP_UNAVAILABLE = 503,
   HTTP_GATEWAY_TIMEOUT = 504
--- a/core/include/core/outcome.h
+++ b/core/include/core/outcome.h
@@ -1,22 +1,23 @@
 /*
- * What a caller is told of a request.
+ * The outcome of a request as reported to its caller, and the reason for it.
  */
 #ifndef CORE_OUTCOME_H
 #define CORE_OUTCOME_H
 
 typedef enum
 {
-  OUTCOME_DONE,    /* the target's whole answer */
-  OUTCOME_NOT_RUN, /* proved: it did not run and will not */
-  OUTCOME_UNKNOWN  /* it may have run */
+  OUTCOME_DONE,    /* a complete answer of the target */
+  OUTCOME_NOT_RUN, /* proof that the request did not run and never will */
+  OUTCOME_UNKNOWN  /* the request may have run */
 } Outcome;
 
 #define OUTCOME_COUNT 3u
 
-/* "done", "not-run" or "unknown". */
+/* Returns "done", "not-run" or "unknown". */
 const char *outcome_name (Outcome outcome);
 
-/* Why it came out so; in the order of the wire's reasons, then the ingress's own. */
+/* Values up to REASON_EVACUATED equal those of the wire protocol's sw_reason; the ones
+   after it arise at the ingress. */
 typedef enum
 {
   REASON_NONE,
@@ -33,20 +34,20 @@
   REASON_TIMEOUT,
   REASON_CROSSED,
   REASON_TOO_LARGE,
-  REASON_TARGET_REFUSED, /* the target itself says that it did not run the request */
+  REASON_TARGET_REFUSED, /* the target answered that it did not run the request */
   REASON_TARGET_FAILED,  /* the target answered that it failed */
-  REASON_CANCELLED,      /* the caller has gone */
-  REASON_SICK,           /* the target has just been found sick; others may be well */
-  REASON_BUDGET,         /* a retry that the service's budget has no room for */
-  REASON_UNPROVED,       /* the target has kept nothing lately that it was sent */
-  REASON_QUARANTINED,    /* targets have ended under this request */
-  REASON_EVACUATED,      /* the target's data hall takes nothing for now */
+  REASON_CANCELLED,      /* the caller disconnected */
+  REASON_SICK,           /* the target is sick; others may be healthy */
+  REASON_BUDGET,         /* the service's retry budget is exhausted */
+  REASON_UNPROVED,       /* the target has not kept a request recently (core/proof.h) */
+  REASON_QUARANTINED,    /* targets crashed while they ran this request */
+  REASON_EVACUATED,      /* the target's data hall is evacuated */
   REASON_LOST,           /* no answer from the sidecar */
   REASON_UNREACHABLE,    /* no connection to the sidecar: nothing was sent */
   REASON_COUNT
 } Reason;
 
-/* A short word for a header, a log or a metric. */
+/* Returns the short name used in headers, logs and metrics. */
 const char *reason_name (Reason reason);
 
 #endif
--- a/core/include/core/placement.h
+++ b/core/include/core/placement.h
@@ -1,21 +1,23 @@
 /*
- * Where a request looks for a slot, and where it waits: a plan as a value, without I/O.
+ * The order in which an ingress tries targets for one request. A Placement is a plain
+ * value; these functions do no I/O.
  *
- * Load patterns: a part of a hall's targets is full while others are free, for what an
- * ingress knows of their load is seconds old; a burst or a loss of targets fills a hall
- * while others have room; everything is full.
+ * Load patterns: some targets of a hall are full while others are free, because the
+ * ingress's view of their load is seconds old; a burst or a loss of targets fills one
+ * hall while others have room; all targets are full.
  *
- * Rule: a few targets of the own hall are asked for a free slot; then the request waits
- * in the own hall's shortest queue, while it can still be on time; then targets of other
- * halls are asked; then one that turns a part of its work away; at last it waits where
- * the wait is shortest, and when that is full too it is refused at once.
+ * Rule: the request first tries a few targets of the ingress's own hall for a free slot.
+ * Then it queues at the target of its own hall with the shortest wait, if it can still be
+ * on time. Then it tries targets of other halls, then targets that shed load. At last it
+ * queues at the target with the shortest wait; if that queue is full too, the request is
+ * refused immediately.
  *
- * Limits: each question costs under a millisecond within a hall and 4 ms between halls;
- * they are few enough for a refusal to come within some 20 ms. A target that refuses for
- * another reason than a lack of slots (sick, leaving, out of reach) tells that the
- * ingress was wrong about it, not that the hall is full: such refusals are counted apart.
- * When they used up the same tries, a third of the refusals in an overload of a fleet of
- * 353 were for them.
+ * Limits: a try costs less than 1 ms within a hall and 4 ms between halls, and the number
+ * of tries keeps the time to a refusal at about 20 ms. A target that refuses for a reason
+ * other than load (sick, draining, unreachable) shows that the ingress's view of it was
+ * outdated, not that the hall is full, so these refusals have a limit of their own. With
+ * one limit for both, a third of the refusals in an overload of 353 nodes were due to
+ * them.
  */
 #ifndef CORE_PLACEMENT_H
 #define CORE_PLACEMENT_H
@@ -25,34 +27,36 @@
 
 typedef enum
 {
-  PLACEMENT_OWN_FREE,   /* a free slot of the own hall */
-  PLACEMENT_OWN_QUEUE,  /* the own hall's shortest queue, for the slack at the most */
-  PLACEMENT_OTHER_FREE, /* a free slot of another hall */
-  PLACEMENT_SHEDDING,   /* one that turns a part of its work away, and has free slots */
-  PLACEMENT_LAST_QUEUE, /* the shortest queue, up to the deadline */
-  PLACEMENT_NOWHERE     /* everything has been tried */
+  PLACEMENT_OWN_FREE,   /* a free slot in the own hall */
+  PLACEMENT_OWN_QUEUE,  /* the shortest queue in the own hall, for at most the slack */
+  PLACEMENT_OTHER_FREE, /* a free slot in another hall */
+  PLACEMENT_SHEDDING,   /* a target that sheds load although it has free slots */
+  PLACEMENT_LAST_QUEUE, /* the shortest queue, until the deadline */
+  PLACEMENT_NOWHERE     /* no tries are left */
 } PlacementStep;
 
-/* How far the plan has come. A zeroed one begins. */
+/* Progress of one request. A zeroed value is the start. */
 typedef struct
 {
   PlacementStep step;
-  guint tried[PLACEMENT_NOWHERE]; /* targets that were asked at each step */
-  guint strays;                   /* refusals that say nothing of slots */
-  guint arrivals;                 /* when it began to look */
+  guint tried[PLACEMENT_NOWHERE]; /* refusals for load, by step */
+  guint strays;                   /* refusals for other reasons */
+  guint arrivals;                 /* the count when the steps last began */
 } Placement;
 
 /*
- * The step to look for a target at now; the same until it is passed or has been refused
- * often enough. `slack_us` is how long the request may wait and be on time; `arrivals`,
- * how many targets may have seen it: after each it looks anew, where tries are left.
+ * Returns the step at which to choose the next target. It stays the same until
+ * placement_pass is called or the step's tries are used up. `slack_us` is how long the
+ * request may wait and still be on time. `arrivals` is the number of attempts that a
+ * target may have seen; when it rises, the steps begin again with the tries that are
+ * left.
  */
 PlacementStep placement_next (Placement *placement, gint64 slack_us, guint arrivals);
 
-/* No target is to be had at this step. */
+/* Skips the current step, because it has no suitable target. */
 void placement_pass (Placement *placement);
 
-/* A target that was found at this step has refused. */
+/* Records that the target chosen at the current step refused the request. */
 void placement_refused (Placement *placement, Reason reason);
 
 #endif
--- a/core/include/core/retry.h
+++ b/core/include/core/retry.h
@@ -1,6 +1,6 @@
 /*
- * The retry budget of a service: retries may be a share of first attempts and no more,
- * so that sick targets do not multiply the load. And the pause before a retry.
+ * Retry budget of a service, which limits retries to a percentage of the first attempts,
+ * so that sick targets do not multiply the load; and the backoff before a retry.
  */
 #ifndef CORE_RETRY_H
 #define CORE_RETRY_H
@@ -9,46 +9,50 @@
 
 typedef struct RetryBudget RetryBudget;
 
-/* What an attempt is to the budget of the service that it is sent to. */
+/* How an attempt counts in the budget of the service that it is sent to. */
 typedef enum
 {
-  RETRY_NONE,      /* the first of a caller's request: allows for a share of a retry */
-  RETRY_CALL,      /* the first of a call that a target makes: allows for none */
-  RETRY_INHERITED, /* the same, for a request that is not at its first attempt: counts as
-                      a retry, though it cannot be denied any more */
-  RETRY_AGAIN,     /* another one: needs a retry in the budget */
+  RETRY_NONE,      /* first attempt for an external caller: adds to the budget */
+  RETRY_CALL,      /* first attempt of a call made by a target: adds nothing */
+  RETRY_INHERITED, /* first attempt of a call that a target makes while it serves a retry:
+                      counts as a retry, but is always allowed */
+  RETRY_AGAIN,     /* a further attempt: allowed if the budget has a retry left */
   RETRY_KINDS
 } RetryKind;
 
 /*
- * In any span of `window_us`, `percent` retries for each hundred first attempts in it,
- * and a burst of ten unless retry_budget_set_burst says otherwise, so that a quiet
- * service can retry too. What a window leaves is not saved up. `clock` is borrowed.
+ * Allows, in any period of `window_us`, `percent` retries per hundred first attempts in
+ * the period, and a burst on top so that a service with little traffic can retry too: ten
+ * retries unless retry_budget_set_burst changes it, and none if `percent` is 0. Unused
+ * retries do not carry over. `clock` is borrowed and must outlive the budget.
  */
 RetryBudget *retry_budget_create (guint percent, gint64 window_us, Clock *clock);
 void retry_budget_destroy (RetryBudget *budget);
+/* Sets the percentage; 0 also sets the burst to 0. */
 void retry_budget_set_percent (RetryBudget *budget, guint percent);
 
-/* `hundredths` of a retry come on top in each window. */
+/* Sets the burst per window, in hundredths of a retry. */
 void retry_budget_set_burst (RetryBudget *budget, guint hundredths);
 
-/* Whether the budget has room for an attempt, and that it is made. */
+/* retry_budget_allows tells whether an attempt may be made; retry_budget_note records one
+   that was made. */
 gboolean retry_budget_allows (const RetryBudget *budget, RetryKind kind);
 void retry_budget_note (RetryBudget *budget, RetryKind kind);
 
-/* Notes a first attempt. */
+/* Records a first attempt. */
 void retry_budget_deposit (RetryBudget *budget);
 
-/* Whether a retry could be taken out now. */
+/* Whether the budget allows a retry now. */
 gboolean retry_budget_has (const RetryBudget *budget);
 
-/* Takes one retry out; FALSE when there is none left. */
+/* Takes one retry; returns FALSE, with no effect, if none is left. */
 gboolean retry_budget_withdraw (RetryBudget *budget);
 
-/* Takes one retry out though there may be none left; it is missing to later ones. */
+/* Counts one retry even if none is left, at the expense of later ones. */
 void retry_budget_borrow (RetryBudget *budget);
 
-/* A pause before retry number `retry` (from 1): full jitter over a doubling bound. */
+/* Returns the pause before retry number `retry` (from 1): exponential backoff with full
+   jitter, uniform between 0 and a bound that doubles from 5 ms up to 250 ms. */
 gint64 retry_pause_us (guint retry, GRand *rand);
 
 #endif
--- a/core/include/core/split.h
+++ b/core/include/core/split.h
@@ -1,6 +1,6 @@
 /*
- * Routes that are shared out among services: each request goes to one of them, in turns
- * that follow the weights as closely as whole requests can.
+ * Weighted traffic split of a route among services. Each request goes to one service, by
+ * smooth weighted round robin.
  */
 #ifndef CORE_SPLIT_H
 #define CORE_SPLIT_H
@@ -9,14 +9,14 @@
 
 typedef struct Splitter Splitter;
 
-/* `rand` is borrowed, and decides at which turn a route begins. */
+/* `rand` is borrowed; it selects the turn at which each route begins. */
 Splitter *splitter_create (GRand *rand);
 void splitter_destroy (Splitter *splitter);
 
-/* The service of the next request on a route; borrowed from the route. */
+/* Returns the service for the next request on a route; the route owns the string. */
 const char *splitter_pick (Splitter *splitter, const Route *route);
 
-/* Forgets all turns: the routes have changed. */
+/* Discards the state of all routes; call it when the routes have changed. */
 void splitter_prune (Splitter *splitter);
 
 #endif
--- a/core/include/core/warmup.h
+++ b/core/include/core/warmup.h
@@ -1,14 +1,15 @@
 /*
- * How fast a cold target is given work.
+ * Rate limit for the starts of requests at a cold target: a token bucket.
  *
- * Load pattern: a data hall is taken back, or a hall's targets return from a power cut,
- * all of them cold, while the others are full: everything falls on them at once, and a
- * cold target falls over well above the rate that it bears.
+ * Load pattern: a data hall is taken back after an evacuation, or the targets of a hall
+ * return from a power cut. All of them are cold while the other targets are full, so the
+ * whole excess load reaches them at once, and a cold target fails well above the rate
+ * that it can serve.
  *
- * Rule: the node beside the target lets so many start a second and a few at once, for all
- * ingresses together: it sees every request that comes, also from nodes that have heard
- * nothing. A target of which nothing has been heard since it started, or since its hall
- * was taken back, is taken for cold.
+ * Rule: the target's sidecar limits starts to a rate and a burst, for all ingresses
+ * together, because every request passes through it, including those from nodes that do
+ * not know that the target is cold. A target that has not reported since it started, or
+ * since its hall was taken back, is assumed to be cold.
  */
 #ifndef CORE_WARMUP_H
 #define CORE_WARMUP_H
@@ -17,26 +18,27 @@
 
 typedef struct Warmup Warmup;
 
-/* Cold until it is said not to be. */
+/* The target is assumed to be cold until warmup_note. `clock` is borrowed. */
 Warmup *warmup_create (Clock *clock);
 void warmup_destroy (Warmup *warmup);
 
-/* Requests a second that the target is given while it is cold, 0 for no bound, and how
-   many at once; at least one. */
+/* Sets the limit while the target is cold: starts per second, 0 for no limit, and the
+   burst, raised to 1 if it is smaller. */
 void warmup_set_rate (Warmup *warmup, double per_s, double burst);
 
-/* The target says that it stays cold for so long; 0 for warm. */
+/* Records a report of the target that it stays cold for `cold_us`; 0 means warm. */
 void warmup_note (Warmup *warmup, gint64 cold_us);
-/* It may have turned cold without a word: it is taken for cold until its next word. */
+/* Assumes the target to be cold until the next warmup_note. */
 void warmup_assume_cold (Warmup *warmup);
-/* Whether starts are bounded now. */
+/* Whether starts are limited now. */
 gboolean warmup_is_on (const Warmup *warmup);
 
 /* Whether one more may start now. */
 gboolean warmup_allows (const Warmup *warmup);
-/* One starts; also counted while the target is warm, for it may turn cold meanwhile. */
+/* Records a start. Starts at a warm target count too, because it may become cold while
+   they run. */
 void warmup_count_start (Warmup *warmup);
-/* How long until one may start that has `ahead` others before it. */
+/* Returns the time until a request with `ahead` others before it may start. */
 gint64 warmup_wait_us (const Warmup *warmup, guint ahead);
 
 #endif
