--- a/core/src/request/admission-queue.c
+++ b/core/src/request/admission-queue.c
@@ -8,7 +8,7 @@
 
 struct AdmissionQueue
 {
-  GArray *waiting; /* of Waiting: by priority, then by arrival */
+  GArray *waiting; /* of Waiting, sorted by priority and then by arrival */
 };
 
 AdmissionQueue *
@@ -50,14 +50,14 @@
   return item;
 }
 
-/* Whether its answer will be late even if it starts now. */
+/* Whether the answer will miss its objective even if the request starts now. */
 static gboolean
 is_late (const AdmissionOrder *order, gint64 now_us)
 {
   return order->on_time_by_us > 0 && order->on_time_by_us < now_us;
 }
 
-/* Whether one that waits starts before one that comes now. */
+/* Whether a queued request starts before one that arrives now. */
 static gboolean
 goes_before (const AdmissionOrder *waiting, const AdmissionOrder *order, gint64 now_us)
 {
@@ -111,7 +111,8 @@
 {
   guint last = queue->waiting->len;
 
-  /* The late go first, for they have least to lose; the least important of them. */
+  /* Late requests are displaced first, because they have missed their objective already;
+     among them the last one with the lowest priority. */
   for (guint i = last; i-- > 0;)
     if (is_late (&at (queue, i)->order, now_us) &&
         !goes_before (&at (queue, i)->order, order, now_us))
@@ -121,8 +122,8 @@
   return NULL;
 }
 
-/* When its time is over: what cannot be done in what is left would only keep others from
-   a slot. */
+/* Returns the time after which a request is not worth a slot: its latest start, or the
+   moment when the rest of its deadline is shorter than the minimum service time. */
 static gint64
 expiry_us (const AdmissionOrder *order, gint64 least_us)
 {
--- a/core/src/request/admission-queue.h
+++ b/core/src/request/admission-queue.h
@@ -1,14 +1,14 @@
 /*
- * The queue before a target's slots.
+ * The queue for a target's slots.
  *
- * Load pattern: for some seconds more comes than the slots can do (a burst, a part of the
- * targets lost, everyone back after a power cut). In the order of arrival, what has piled
- * up by the end of it makes all that follows late, for as long as the queue takes to run
- * dry.
+ * Load pattern: for some seconds more requests arrive than the slots can serve (a burst,
+ * a loss of targets, all callers returning after a power cut). If requests were served in
+ * order of arrival, the backlog would make all later ones late as well, until the queue
+ * has drained.
  *
- * Rule: what can still be answered within its objective goes first, by priority and then
- * by arrival. What is late already gets the slots that are left over, in the same order:
- * it is served as soon as the load allows, and delays nothing that is not late yet.
+ * Rule: requests that can still be answered within their objective start first, by
+ * priority and then by arrival. Requests that are already late get the remaining slots,
+ * in the same order, so they do not delay requests that are still on time.
  */
 #ifndef CORE_REQUEST_ADMISSION_QUEUE_H
 #define CORE_REQUEST_ADMISSION_QUEUE_H
@@ -22,7 +22,7 @@
 
 guint admission_queue_length (const AdmissionQueue *queue);
 
-/* How many of those that wait would start before one of this order. */
+/* Returns the number of queued items that would start before a request with `order`. */
 guint admission_queue_ahead (const AdmissionQueue *queue,
                              const AdmissionOrder *order,
                              gint64 now_us);
@@ -30,22 +30,24 @@
 void
 admission_queue_add (AdmissionQueue *queue, gpointer item, const AdmissionOrder *order);
 
-/* The next to start, taken out; NULL when nothing waits. */
+/* Removes the next item to start; NULL if the queue is empty. */
 gpointer admission_queue_take (AdmissionQueue *queue, gint64 now_us);
 
-/* One that matters less than `order`, taken out to make room for it; NULL for none. */
+/* Removes an item that would start after a request with `order`, to make room for it;
+   NULL if there is none. */
 gpointer admission_queue_displace (AdmissionQueue *queue,
                                    const AdmissionOrder *order,
                                    gint64 now_us);
 
-/* One that cannot be served any more, for work takes at least `least_us`, taken out. */
+/* Removes an item whose latest start has passed or whose deadline is less than
+   `least_us`, the minimum service time, away; NULL if there is none. */
 gpointer
 admission_queue_take_expired (AdmissionQueue *queue, gint64 now_us, gint64 least_us);
 
-/* FALSE when it does not wait. */
+/* Removes `item`; FALSE if it is not queued. */
 gboolean admission_queue_withdraw (AdmissionQueue *queue, gpointer item);
 
-/* The first deadline of all that wait, or -1. */
+/* Returns the earliest deadline in the queue, or -1 if it is empty. */
 gint64 admission_queue_first_deadline_us (const AdmissionQueue *queue);
 
 #endif
--- a/core/src/request/admission.c
+++ b/core/src/request/admission.c
@@ -1,13 +1,14 @@
 #include "admission-queue.h"
 
-/* Weights of the running means: recent work, and what is normal for the target. */
+/* A new latency enters the running means of the recent and of the normal latency with the
+   weight of one over these. */
 #define RECENT_SHARE 8
 #define NORMAL_SHARE 256
-/* Slower than this many times its normal, a target is given less at once. */
+/* The limit falls while the recent latency is above this multiple of the normal one. */
 #define SLOW_FACTOR 2
-/* The limit never falls below this share of the slots. */
+/* The limit stays at or above the number of slots divided by this. */
 #define LIMIT_FLOOR_DIVISOR 4
-/* How many answers lie between two changes of the limit. */
+/* Number of answers between two changes of the limit. */
 #define LIMIT_STEP_ANSWERS 8
 #define LEAST_PERCENT 70
 #define TOOK_DEFAULT_US (10 * MS_US)
@@ -20,7 +21,7 @@
   guint limit;
   guint queue_max;
   guint in_use;
-  Warmup *warmup; /* borrowed; NULL for no bound on starts */
+  Warmup *warmup; /* borrowed; NULL for no limit on starts */
   AdmissionQueue *queue;
   gpointer displaced;
   gint64 recent_us;
@@ -76,7 +77,7 @@
   admission->warmup = warmup;
 }
 
-/* Whether the target is warm enough for one more start. */
+/* Whether the warm-up allows one more start. */
 static gboolean
 may_start (const Admission *admission)
 {
@@ -97,15 +98,16 @@
   return admission->recent_us ? admission->recent_us : TOOK_DEFAULT_US;
 }
 
-/* Work that has less time left than this is not worth a start: of work with a spread as
-   the users' three in four take longer than 70 % of the mean. */
+/* Returns the minimum service time; requests with less time left are not started. With
+   the latency spread of the users' targets, three in four requests take longer than 70 %
+   of the mean. */
 static gint64
 least_us (const Admission *admission)
 {
   return admission->recent_us * LEAST_PERCENT / 100;
 }
 
-/* How long the item at place `ahead` of the queue is likely to wait. */
+/* Estimates how long a request with `ahead` others before it has to wait. */
 static gint64
 expected_wait_us (const Admission *admission, guint ahead)
 {
@@ -116,7 +118,7 @@
   return MAX (slots_us, warmup_wait_us (admission->warmup, ahead));
 }
 
-/* Makes room in a full queue, when something there matters less than the new one. */
+/* Makes room in a full queue by removing an item that would start after the new one. */
 static gboolean
 displace (Admission *admission, const AdmissionOrder *order)
 {
@@ -150,7 +152,7 @@
   return TRUE;
 }
 
-/* Whether what is expected to wait so long might as well not wait at all. */
+/* Whether a request that waits for `wait_us` would miss its latest start or deadline. */
 static gboolean
 would_be_late (const Admission *admission, const AdmissionOrder *order, gint64 wait_us)
 {
@@ -158,7 +160,7 @@
 
   if (order->start_by_us > 0 && start > order->start_by_us)
     return TRUE;
-  /* What could not start and finish in time would only waste the slot. */
+  /* A request that cannot finish by its deadline would only waste the slot. */
   return start + took_us (admission) > order->deadline_us;
 }
 
@@ -216,7 +218,7 @@
       admission->normal_us = MAX (took, 1);
     }
   admission->recent_us += (took - admission->recent_us) / RECENT_SHARE;
-  /* What is normal rises slowly and falls at once, so that a slow spell stands out. */
+  /* The normal latency rises slowly and falls quickly, so slow periods stand out. */
   if (took < admission->normal_us)
     admission->normal_us += (took - admission->normal_us) / RECENT_SHARE;
   else
--- a/core/src/request/balancer-choose.c
+++ b/core/src/request/balancer-choose.c
@@ -2,16 +2,17 @@
 
 #include <string.h>
 
-/* Above this share of its slots in use, a hall's pick is weighed against other halls. */
+/* Load of the own hall's pick, in percent of its slots, above which it is compared with
+   the pick of the other halls. */
 #define SPILL_PERCENT 80u
 #define LATENCY_UNKNOWN_US 1000u
-/* Slow targets that stay for the floor help out when the others are loaded so far. */
+/* Load of the best healthy target above which a slow target that is kept for the floor
+   may be chosen instead. */
 #define FULL_LOAD 1.5
 #define RETRY_AFTER_US SECOND_US
-/* With fewer sick targets nothing is said of how the service's targets fail. */
+/* Minimum number of targets that fail abruptly for a conclusion about the service. */
 #define ABRUPT_MIN 3u
 
-/* One target of the service being chosen from. */
 typedef struct
 {
   const Target *target;
@@ -28,7 +29,7 @@
   return FALSE;
 }
 
-/* Takes a sick target's turn for a trial, and sets the next. */
+/* Whether a trial of a sick target is due; if so, schedules the next one. */
 static gboolean
 trial_is_due (Balancer *balancer, const Target *target, View *view)
 {
@@ -54,21 +55,22 @@
          slots;
 }
 
-/* What the target's work takes. */
+/* Returns the target's mean latency, or a default if it is shorter or unknown. */
 static double
 work_of (const Candidate *candidate)
 {
   return MAX (candidate->view->report.latency_us, LATENCY_UNKNOWN_US);
 }
 
-/* About how long until the target has done what it has. */
+/* Estimates the time until the target has finished its current work. */
 static double
 score_of (const Candidate *candidate)
 {
   return load_of (candidate) * work_of (candidate);
 }
 
-/* The better of two taken at random, among those that are (not) of this hall. */
+/* Returns the better of two random candidates of the own hall or of the others (power of
+   two choices), or NULL if there are none. */
 static const Candidate *
 pick_two (Balancer *balancer, const GArray *candidates, gboolean local)
 {
@@ -99,7 +101,7 @@
   return best;
 }
 
-/* The own hall's with the shortest wait. */
+/* Returns the candidate of the own hall with the shortest wait, or NULL. */
 static const Candidate *
 pick_best (const GArray *candidates)
 {
@@ -115,8 +117,9 @@
   return best;
 }
 
-/* The own hall's with the shortest wait, unless another's is shorter by more than the
-   work itself takes: what waits there loses less than it costs to move. */
+/* Returns the candidate of the own hall with the shortest wait, or one of another hall
+   whose wait is shorter by more than the local latency. For a smaller gain a move between
+   halls does not pay. */
 static const Candidate *
 pick_wait (Balancer *balancer, const GArray *candidates)
 {
@@ -154,9 +157,10 @@
 }
 
 /*
- * A slow target that stays for the floor takes what would have to wait at the others. One
- * that fails helps nobody: what fails may not be repeated, while a refusal tells the
- * caller when to come back.
+ * Prefers healthy candidates to sick ones that are kept for the floor. A slow target is
+ * chosen when the healthy ones are full or have no candidate left. A failing target is
+ * chosen only if the service has no healthy one: a failed request may not be repeatable,
+ * while a refusal tells the caller when to retry.
  */
 static const Target *
 pick_healthy_first (Balancer *balancer,
@@ -188,8 +192,8 @@
 }
 
 /*
- * With every path broken, the ones that the membership still holds alive are tried:
- * a breaker that is wrong must not answer for the whole service.
+ * Adds the targets on nodes that the membership considers alive, for use when no target
+ * is available: wrongly tripped circuit breakers must not stop the whole service.
  */
 static void
 add_last_resorts (Balancer *balancer,
@@ -211,13 +215,13 @@
     }
 }
 
-/* The targets of one choice, by what is held of them. */
+/* The candidates of one choice, by their condition. */
 typedef struct
 {
   GArray *steady; /* of Candidate, as the others */
   GArray *shedding;
-  GArray *doubtful; /* behind a node that has not answered at once */
-  GArray *sick;     /* and kept for the floor */
+  GArray *doubtful; /* on a node that did not answer promptly */
+  GArray *sick;     /* not ejected, to keep the floor */
 } Pools;
 
 static void
@@ -257,9 +261,9 @@
 }
 
 /*
- * Whether what makes a service's targets sick now is that they break off at once what
- * they are sent. One that has kept a request for a moment is then well, which cannot be
- * said where they hang.
+ * Whether most sick targets of a service close connections at once without an answer. A
+ * target that has kept a request open for a short time is then healthy, which does not
+ * follow when sick targets hang.
  */
 static gboolean
 breaks_off_at_once (Balancer *balancer, const Service *service, const EjectItem *items)
@@ -279,8 +283,7 @@
   return abrupt >= ABRUPT_MIN && 2 * abrupt > sick;
 }
 
-/* The pool of healthy targets that a wish is for; sick ones may stand in for the steady.
- */
+/* Returns the pool of healthy candidates to choose from; it may be empty. */
 static const GArray *
 pools_healthy (const Pools *pools, BalancerShedding shedding)
 {
--- a/core/src/request/balancer-private.h
+++ b/core/src/request/balancer-private.h
@@ -1,6 +1,6 @@
 /*
- * What the files of the balancer share: balancer.c what it knows, balancer-choose.c whom
- * it picks, balancer-status.c what it tells of targets and services.
+ * Declarations shared by the files of the balancer: balancer.c keeps its state,
+ * balancer-choose.c chooses targets, balancer-status.c reports on targets and services.
  */
 #ifndef CORE_BALANCER_PRIVATE_H
 #define CORE_BALANCER_PRIVATE_H
@@ -10,21 +10,22 @@
 
 #include "path.h"
 
-/* A sick target of another hall is offered about one trial in so long, by all ingresses
+/* Mean interval between trials offered to a sick target of another hall, by all ingresses
    together. */
 #define BALANCER_TRIAL_EVERY_US (SECOND_US / 2)
-/* One of the own hall in so long by each: its sidecar takes one at a time, and a refusal
-   within the hall costs less than a millisecond. Those that serve repeatable requests are
-   few, and three good trials in a row should not take longer than a second. */
+/* Mean interval between trials that each ingress offers to a sick target of its own hall.
+   The sidecar accepts one at a time, and a refusal within the hall costs less than 1 ms.
+   Few ingresses serve repeatable requests, and three successful trials in a row should
+   take at most 1 s. */
 #define BALANCER_TRIAL_NEAR_US (SECOND_US / 5)
 
-/* What this ingress holds of one target. */
+/* This ingress's view of one target. */
 typedef struct
 {
-  TargetReport report; /* `target` unused */
-  gboolean known;
-  guint outstanding; /* this ingress's own, on their way */
-  gint64 trial_due_us;
+  TargetReport report; /* `target` is unused */
+  gboolean known;      /* a report has been received */
+  guint outstanding;   /* this ingress's attempts in flight */
+  gint64 trial_due_us; /* earliest time of the next trial */
 } View;
 
 struct Balancer
@@ -37,18 +38,20 @@
   guint ingresses;
 };
 
-/* Found, or made anew. */
+/* Return the entry, which the balancer owns; an absent one is created. */
 View *balancer_view (Balancer *balancer, const char *target);
 Path *balancer_path (Balancer *balancer, const char *vm);
 
-/* How long an ingress waits between two offers of trials to one target. */
+/* Returns the mean interval between the trials that this ingress offers to one target of
+   `hall`. */
 gint64 balancer_trial_every_us (const Balancer *balancer, const char *hall);
 
-/* Whether what is held of a target comes from its sidecar's present incarnation. */
+/* Whether the view of a target comes from its sidecar's current incarnation; TRUE if the
+   membership has reported none. */
 gboolean balancer_is_current (const View *view, const Path *path);
 
-/* Weighs all targets of a service against its floor; `items` has a place for each.
-   Returns the slots that stay in service. */
+/* Ejects sick targets of a service down to its floor (core/eject.h). `items` is filled
+   with one item per target. Returns the number of slots that stay in service. */
 guint balancer_weigh (Balancer *balancer, const Service *service, EjectItem *items);
 
 #endif
--- a/core/src/request/balancer-status.c
+++ b/core/src/request/balancer-status.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Figures that rest on fewer samples say too little for a median. */
+/* Minimum number of samples for a failure rate to count in the median. */
 #define MEDIAN_SAMPLES_MIN 10u
 
 static gint
@@ -36,7 +36,8 @@
       if (view->known && view->report.samples >= MEDIAN_SAMPLES_MIN)
         g_array_append_val (failures, view->report.failures_ppm);
     }
-  /* One target is no measure for itself, nor is one other: which of two fails? */
+  /* A single known target is either the one to be compared, or one other; then it is
+     unclear which of the two is at fault. */
   return failures->len < 2 ? 0 : median (failures);
 }
 
--- a/core/src/request/balancer.c
+++ b/core/src/request/balancer.c
@@ -83,8 +83,8 @@
 }
 
 /*
- * A target has just been found sick: most ingresses hear of it at once, so that each
- * takes a place of its own in the order of first trials.
+ * Delays the first trial of a target that just became sick by a random time, because most
+ * ingresses learn of it at the same moment.
  */
 static void
 note_severity (Balancer *balancer, View *view, guint severity)
@@ -102,7 +102,7 @@
 {
   View *view = balancer_view (balancer, report->target);
 
-  /* Incarnations have no order: another one's report stands for itself. */
+  /* Incarnations have no order, so a report of another incarnation replaces the view. */
   if (view->known && report->incarnation == view->report.incarnation &&
       report->serial < view->report.serial)
     return;
@@ -140,7 +140,7 @@
 {
   Path *path = balancer_path (balancer, vm);
 
-  /* A node that came anew, or back, starts with a clean path. */
+  /* A node that is new, restarted or back from the dead starts with a reset path. */
   if (alive && (path->dead || path->incarnation != incarnation))
     *path = (Path){ 0 };
   path->incarnation = incarnation;
@@ -202,7 +202,8 @@
     }
 }
 
-/* Slots that ejections must leave: the operator's number, or share of what serves. */
+/* Returns the number of slots that ejections must leave: the larger of the configured
+   number and the configured percentage of the service's slots. */
 static guint
 floor_of (const Service *service)
 {
--- a/core/src/request/dispatch.c
+++ b/core/src/request/dispatch.c
@@ -1,10 +1,10 @@
 #include <core/dispatch.h>
 
-/* With so many refusals that no target saw the whole service is taken to refuse, and the
-   caller had better hear when to come back. A plan (placement.h) ends before. */
+/* Limit on attempts that no target saw; the service is then assumed to refuse, and the
+   caller is told when to retry. The tries of placement.h usually end earlier. */
 #define REFUSALS_MAX 32u
 #define ASK_HOLD_MAX_US (2 * SECOND_US)
-/* A caller is told to come back after this when nobody knows better. */
+/* Retry delay for the caller if neither a sidecar nor the balancer gave one. */
 #define RETRY_AFTER_DEFAULT_US SECOND_US
 
 struct Dispatch
@@ -17,9 +17,9 @@
   guint asks;
   gboolean asking;
   gboolean may_have_run;
-  gboolean beside;  /* two attempts are on their way */
-  gboolean faulted; /* the owner holds an answer that says the target failed */
-  Reason reason;    /* of the last attempt that came to nothing */
+  gboolean beside;  /* two attempts are in flight */
+  gboolean faulted; /* the owner keeps an answer reporting a failure */
+  Reason reason;    /* of the last unsuccessful attempt */
   gint64 retry_after_us;
 };
 
@@ -32,7 +32,7 @@
   dispatch->rand = rand;
   dispatch->clock = clock;
   dispatch->retry_after_us = RETRY_AFTER_DEFAULT_US;
-  /* A ticket may have been used before, by a request that this node knows nothing of. */
+  /* An earlier request unknown to this node may have used the same ticket. */
   dispatch->may_have_run = policy->pinned;
   return dispatch;
 }
@@ -107,7 +107,8 @@
   return step;
 }
 
-/* The end of the line without an answer: what can be said depends on what was risked. */
+/* Ends the dispatch without a successful answer: with the kept failure answer if there is
+   one, otherwise with an outcome that says whether an attempt may have run. */
 static DispatchStep
 give_up (Dispatch *dispatch, Reason reason)
 {
@@ -141,8 +142,8 @@
     return give_up (dispatch, REASON_DEADLINE);
   dispatch->attempts++;
   step.remaining_us = left;
-  /* At the deadline the sidecar answers by itself: half the slack is for its way. A node
-     that has gone is noticed by the owner, long before. */
+  /* The sidecar answers at the deadline at the latest; half the slack is for the network.
+     The owner detects a dead node long before. */
   step.wait_us = left + dispatch->policy.slack_us / 2;
   return step;
 }
@@ -155,7 +156,7 @@
   return give_up (dispatch, REASON_QUARANTINED);
 }
 
-/* A target has seen the attempt, or may have. */
+/* Counts an attempt that a target may have seen. */
 static void
 note_arrival (Dispatch *dispatch)
 {
@@ -200,15 +201,15 @@
   dispatch->asking = FALSE;
   if (reason == REASON_TARGET_REFUSED)
     note_arrival (dispatch);
-  /* The sidecar's proof is about the attempt's name, and so about the whole ticket. */
+  /* The proof covers the attempt's id, and so every earlier use of the ticket. */
   if (dispatch->policy.pinned)
     dispatch->may_have_run = FALSE;
   if (retry_after_us > 0)
     dispatch->retry_after_us = retry_after_us;
-  /* Each sidecar would say the same. */
+  /* Every sidecar would refuse it. */
   if (reason == REASON_QUARANTINED)
     return give_up (dispatch, reason);
-  /* A refusal is quick and cost no target anything: a pause would only be lost time. */
+  /* A refusal by a sidecar is quick and loads no target, so no pause is needed. */
   return retry (dispatch, reason, reason != REASON_TARGET_REFUSED);
 }
 
@@ -222,7 +223,7 @@
   return retry (dispatch, reason, FALSE);
 }
 
-/* The target itself says that it failed: worth another try where that is harmless. */
+/* The target reported a failure; a repeatable request is retried at once. */
 static DispatchStep
 faulted (Dispatch *dispatch, Reason reason)
 {
@@ -253,7 +254,7 @@
   dispatch->may_have_run |= report != DISPATCH_REFUSED;
 }
 
-/* What an attempt came to, by its own answer or by the fence's. */
+/* Handles a definite result, from the attempt itself or from the fence. */
 static DispatchStep
 settled (Dispatch *dispatch, DispatchReport report, Reason reason, gint64 retry_after_us)
 {
@@ -279,7 +280,7 @@
   switch (report)
     {
     case DISPATCH_UNSENT:
-      /* That this request never left says nothing of an earlier one of its ticket. */
+      /* Even if this request was unsent, an earlier one with its ticket may have run. */
       return dispatch->policy.pinned ? ask (dispatch)
                                      : refused (dispatch, REASON_UNREACHABLE, 0);
     case DISPATCH_STARTED:
--- a/core/src/request/fence.c
+++ b/core/src/request/fence.c
@@ -22,7 +22,7 @@
   GQueue order;        /* by created_us, oldest first */
   GQueue answers;      /* entries with an answer, oldest first */
   gsize answer_bytes;
-  /* Readings below it are refused although the window would allow them. Never falls. */
+  /* Older readings are refused even if the window allows them. Never decreases. */
   gint64 accept_from_us;
 };
 
@@ -121,7 +121,7 @@
   return fence->order.length;
 }
 
-/* The oldest reading for which the absence of an entry proves that nothing ran. */
+/* The oldest reading for which a missing entry proves that the attempt did not run. */
 static gint64
 horizon (const Fence *fence)
 {
@@ -129,8 +129,9 @@
 }
 
 /*
- * Forgets entries that no accepted message can name any more. One that still runs is
- * kept: its deadline ends it, and it goes with a later sweep.
+ * Deletes entries that no acceptable message can refer to. Entries of attempts that are
+ * queued or running are kept for another window; they end by their deadlines, and a later
+ * sweep deletes them.
  */
 static void
 sweep (Fence *fence)
@@ -170,8 +171,8 @@
 }
 
 /*
- * With no room for an entry, every reading seen so far is refused from now on: copies
- * of this message that come later find no room either, and need no entry to die on.
+ * Refuses every reading issued so far, because the table has no room for an entry. Later
+ * copies of the same message are then refused as well, without a tombstone.
  */
 static void
 close_to_old_readings (Fence *fence)
@@ -202,7 +203,7 @@
       close_to_old_readings (fence);
       return FENCE_FULL;
     }
-  /* A reading that this clock has not shown yet is a peer's fault: it never starts. */
+  /* A reading from the future is an error of the peer, so the attempt never starts. */
   if (reading_us > clock_now (fence->clock))
     {
       *entry = add_entry (fence, id, FENCE_TOMBSTONE);
--- a/core/src/request/path.c
+++ b/core/src/request/path.c
@@ -1,8 +1,8 @@
 #include "path.h"
 
-/* So many calls in a row without any answer break a path. */
+/* Consecutive calls without an answer that trip the breaker. */
 #define LOSSES_TO_BREAK 3u
-/* By then the path to a node that is gone is closed. */
+/* Within this time a path to a dead node has been closed. */
 #define DOUBT_US G_GINT64_CONSTANT (1000000)
 #define PAUSE_FIRST_US G_GINT64_CONSTANT (1000000)
 #define PAUSE_DOUBLINGS_MAX 5u
@@ -20,7 +20,7 @@
     }
   if (++path->losses < LOSSES_TO_BREAK)
     return;
-  /* After the pause one more loss is enough to break it again. */
+  /* After the pause a single further loss trips the breaker again. */
   path->losses = LOSSES_TO_BREAK - 1;
   path->closed_until_us =
       now_us + (PAUSE_FIRST_US << MIN (path->opened, PAUSE_DOUBLINGS_MAX));
--- a/core/src/request/path.h
+++ b/core/src/request/path.h
@@ -1,6 +1,7 @@
 /*
- * The breaker of the path from this ingress to one node. A path that breaks is the
- * ingress's own matter: it says nothing of the targets behind it.
+ * Circuit breaker of the path from this ingress to one node. A broken path concerns this
+ * ingress alone and does not affect the health of the targets behind the node. An open
+ * path carries traffic; a closed one does not.
  */
 #ifndef CORE_REQUEST_PATH_H
 #define CORE_REQUEST_PATH_H
@@ -9,24 +10,25 @@
 
 typedef struct
 {
-  guint64 incarnation;      /* by the membership; 0 when it has not spoken */
-  gboolean dead;            /* the membership says so */
-  guint losses;             /* in a row */
-  guint opened;             /* times in a row that the breaker opened */
-  gint64 closed_until_us;   /* no work until then */
-  gboolean closed;          /* the owner has closed it, and will open it */
-  gint64 doubtful_until_us; /* a question to the node has gone unanswered for a moment */
+  guint64 incarnation;      /* from the membership; 0 while unknown */
+  gboolean dead;            /* from the membership */
+  guint losses;             /* consecutive calls without an answer */
+  guint opened;             /* consecutive trips of the breaker */
+  gint64 closed_until_us;   /* set by the breaker: no work until then */
+  gboolean closed;          /* set and cleared by balancer_set_path */
+  gint64 doubtful_until_us; /* set when a ping stays unanswered for a short time */
 } Path;
 
-/* Notes a call's fate at time `now_us`. */
+/* Records whether a call was answered. */
 void path_note (Path *path, gboolean answered, gint64 now_us);
 
-/* A question to the node has gone unanswered for a moment. Doubt ends by itself, for who
-   asked may not be there any more when the answer comes. */
+/* Marks the path as doubtful, because a ping to the node has not been answered promptly.
+   The mark expires by itself, since the pinging request may end before the answer comes
+   and clears it. */
 void path_doubt (Path *path, gint64 now_us);
 gboolean path_is_doubtful (const Path *path, gint64 now_us);
 
-/* Whether work may go this way. */
+/* Whether requests may be sent on the path. */
 gboolean path_usable (const Path *path, gint64 now_us);
 
 #endif
--- a/core/src/request/placement.c
+++ b/core/src/request/placement.c
@@ -2,19 +2,19 @@
 
 #include <core/clock.h>
 
-/* No queue for a wait that is shorter than asking elsewhere takes. */
+/* Minimum slack to queue in the own hall; a try in another hall takes only 4 ms. */
 #define OWN_QUEUE_MIN_US (5 * MS_US)
-/* So many refusals for other reasons; then the request waits where it can. */
+/* Refusals for reasons other than load after which only the last queue is tried. */
 #define STRAYS_MAX 8u
 
-/* How many targets are asked at each step. A second queue of the own hall, and a single
-   question to other halls, were both worth less: 0.403 and 0.398 for 0.409 of the
-   callers' worth over twelve loaded runs of a simulated fleet of 30. */
+/* Refusals for load that end each step. Over twelve loaded runs of a simulated fleet of
+   30 these values served 0.409 of the work, by its value to the callers; a second queue
+   in the own hall served 0.403, and a single try in other halls 0.398. */
 static const guint tries_max[PLACEMENT_NOWHERE] = {
   [PLACEMENT_OWN_FREE] = 4,
   [PLACEMENT_OWN_QUEUE] = 1,
   [PLACEMENT_OTHER_FREE] = 2,
-  /* They are mostly free: the first has a slot. */
+  /* These targets mostly have a free slot. */
   [PLACEMENT_SHEDDING] = 2,
   [PLACEMENT_LAST_QUEUE] = 2,
 };
@@ -33,7 +33,8 @@
     case PLACEMENT_OWN_QUEUE:
       return slack_us >= OWN_QUEUE_MIN_US;
     case PLACEMENT_SHEDDING:
-      /* What a target has turned away once had better wait for a slot that is sure. */
+      /* A target may have seen the request already; shedding targets may refuse it again,
+         while a queue leads to a slot. */
       return arrivals == 0;
     default:
       return TRUE;
@@ -60,7 +61,7 @@
     placement->step++;
 }
 
-/* Whether a refusal tells of the load that the target has. */
+/* Whether the target refused because of its load. */
 static gboolean
 is_for_load (Reason reason)
 {
@@ -71,7 +72,7 @@
 void
 placement_refused (Placement *placement, Reason reason)
 {
-  /* Who asks for a proof bounds by itself how often. */
+  /* The caller limits the refusals for a missing proof (core/proof.h) itself. */
   if (placement->step >= PLACEMENT_NOWHERE || reason == REASON_UNPROVED)
     return;
   if (is_for_load (reason))
--- a/core/src/request/retry.c
+++ b/core/src/request/retry.c
@@ -1,18 +1,18 @@
 #include <core/retry.h>
 
-/* Allowances are counted in hundredths of a retry. */
+/* The budget is counted in hundredths of a retry. */
 #define ONE_RETRY 100
-/* What a quiet service may spend in a window, where no burst is set. */
+/* Default burst per window. */
 #define BURST_RETRIES 10
 #define PAUSE_FIRST_US 5000
 #define PAUSE_MAX_US 250000
-/* A window is counted in so many slices: the error is a slice, and is on the safe side.
- */
+/* Number of slices in a window. The window is exact to one slice, in favour of fewer
+   retries. */
 #define SLICES 20
 
 typedef struct
 {
-  gint64 number; /* of the slice since the clock's zero */
+  gint64 number; /* of the slice, from the clock's origin */
   guint firsts;
   guint retries;
 } Slice;
@@ -23,7 +23,7 @@
   gint64 slice_us;
   guint percent;
   guint burst; /* hundredths */
-  /* The slices of a window, and the one that has just begun. */
+  /* Ring of the slices of a full window and the current one, indexed by their numbers. */
   Slice slices[SLICES + 1];
 };
 
@@ -65,7 +65,7 @@
   return clock_now (budget->clock) / budget->slice_us;
 }
 
-/* The slice of this moment; it takes the place of one that has left the window. */
+/* Returns the current slice, reusing the place of one that has left the window. */
 static Slice *
 present_slice (RetryBudget *budget)
 {
@@ -83,7 +83,8 @@
   present_slice (budget)->firsts++;
 }
 
-/* The slice that a window reaches into by a part is counted for retries alone. */
+/* The slice that lies only partly within the window counts for retries but not for first
+   attempts, so that no window exceeds the budget. */
 gboolean
 retry_budget_has (const RetryBudget *budget)
 {
--- a/core/src/request/split.c
+++ b/core/src/request/split.c
@@ -2,14 +2,14 @@
 
 #include <string.h>
 
-/* What each service of one route is owed; smooth weighted round robin. */
+/* Smooth weighted round robin state of one route. */
 typedef struct
 {
-  GArray *credits; /* of gint64, one for each share */
+  GArray *credits; /* of gint64, one per share of the route */
 } Turns;
 
-/* Turns repeat after so many picks as the weights add up to; more of them are not gone
-   through to begin at a random one. */
+/* The sequence of turns repeats after as many picks as the weights add up to. A route
+   begins at a random one of at most this many first turns, to bound the work. */
 #define FIRST_TURN_MAX 1000
 
 struct Splitter
@@ -56,8 +56,8 @@
   return total;
 }
 
-/* Each share is owed its weight; the one that is owed most takes the turn and pays for
-   it with the sum of all. Returns its place. */
+/* Adds to each share's credit its weight, selects the share with the highest credit, and
+   subtracts the total weight from it. Returns the index of the selected share. */
 static guint
 take_turn (Turns *turns, const Route *route, gint64 total)
 {
@@ -76,9 +76,9 @@
 }
 
 /*
- * The turns of a route; begun anew when the number of its shares has changed. Each node
- * begins at a random turn: with the same first turns on all of them, a fleet that gets a
- * few requests a node would send nearly all to the greatest share.
+ * Returns the state of a route, which is created anew when the number of shares changed.
+ * Each node begins at a random turn: if all nodes began at the first one, a fleet with a
+ * few requests per node would send nearly all of them to the largest share.
  */
 static Turns *
 turns_of (Splitter *splitter, const Route *route, gint64 total)
--- a/core/src/request/warmup.c
+++ b/core/src/request/warmup.c
@@ -1,6 +1,6 @@
 #include <core/warmup.h>
 
-/* Starts made while the target was warm weigh on it for no longer than this. */
+/* Limits the negative balance left by starts at a warm target, in seconds of the rate. */
 #define DEBT_MAX_S 1.0
 
 struct Warmup
@@ -8,10 +8,10 @@
   Clock *clock;
   double per_s;
   double burst;
-  double saved; /* starts that may be made at once, at `counted_us`; below 0 for a debt */
+  double saved; /* tokens in the bucket at `counted_us`; may be negative */
   gint64 counted_us;
   gint64 cold_until_us;
-  gboolean unknown; /* nothing has been heard since it may have turned cold */
+  gboolean unknown; /* no report since the target may have become cold */
 };
 
 Warmup *
@@ -31,7 +31,7 @@
   g_free (warmup);
 }
 
-/* What may start at once, now. */
+/* Returns the tokens in the bucket now. */
 static double
 saved_now (const Warmup *warmup)
 {
