--- a/core/include/core/quarantine.h
+++ b/core/include/core/quarantine.h
@@ -1,25 +1,32 @@
 /*
- * Quarantine: requests that end the targets they run on are held back.
+ * Quarantine of requests that crash the targets they run on.
  *
- * Load pattern: a caller's request ends each target that begins to run it, which is back
- * after some seconds. It comes again under a new id, at any node; retries and hedges send
- * it on as well. A service of eight lost 18 targets in 15 s to each of two such requests.
+ * An "end" is the abrupt termination of a target process, together with the requests that
+ * were running on it.
  *
- * Rule: each end of a target counts against all requests that were at work there. One
- * that was at work at three ends, at moments apart, and has run to an answer nowhere
- * meanwhile, is held back by every node, and so is what waits in a queue. What has run to
- * an answer anywhere was not deadly: the answer takes all that counted against it back.
+ * Failure: a request ends every target that starts to run it, and each target is back
+ * after some seconds. The caller sends the request again under a new id, at any node, and
+ * retries and hedges forward it as well. A service of eight targets had 18 ends in 15 s
+ * from each of two such requests.
  *
- * Who counts: every node for itself, of what all have seen. Ends travel as facts (a
- * random number and an age, in any order, any number of times), so that nodes that hear
- * the same facts hold the same. Nobody's view decides alone, and none has to be there:
- * three ends may have been seen by three nodes that nobody hears of again.
+ * Rule: each end of a target counts against all requests that were running on it. A
+ * request that has three ends at distinct moments, and has completed nowhere in the
+ * meantime, is quarantined ("held") on every node. This also applies to requests that
+ * wait in a queue. A completed answer from any target shows that the request is harmless,
+ * and clears all ends that count against it.
  *
- * The innocent: an end counts against the request that was at most ends among those at
- * work there, and an end of one that is held back already counts against that one alone.
- * Ends at one moment, as of a hall, count once. QUARANTINE_SETTLE_US pass before anything
- * is held back, in which work elsewhere may come to an answer. And who is held back is
- * tried again, one request at a time: at once, after a minute, after ten, and so on.
+ * Every node decides by itself, from the ends that all nodes have seen. Ends are gossiped
+ * as facts (a random number and an age) that may arrive in any order and any number of
+ * times, so that nodes with the same facts hold the same list. No single node's view
+ * decides, and no node has to stay alive: the three ends may have been seen by three
+ * nodes that are gone afterwards.
+ *
+ * Protection of innocent requests: an end counts only against the request with the most
+ * ends among those that were running there, and an end of a quarantined request counts
+ * against that request alone. Ends at one moment, such as those of a failing data hall,
+ * count once. A request is quarantined only QUARANTINE_SETTLE_US after its decisive end,
+ * so that an answer from elsewhere can still arrive. A quarantined request is tried
+ * again, one request at a time: at once, after a minute, after ten minutes and so on.
  */
 #ifndef CORE_QUARANTINE_H
 #define CORE_QUARANTINE_H
@@ -27,82 +34,86 @@
 #include <core/clock.h>
 #include <core/fingerprint.h>
 
-/* Ends that a request must have been at work at: the users' bound for what is allowed. */
+/* Ends that quarantine a request: the limit that the requirements set. */
 #define QUARANTINE_ENDS 3u
-/* Ends that are closer together are one event: a host, a rack or a hall takes many
-   targets at one moment, and news of them is late by a trip between halls, 12 ms at the
-   most. */
+/* Ends that are closer together count as one event, because a host, a rack or a hall
+   fails with many targets at one moment. News of an end is delayed by at most a trip
+   between halls, 12 ms. */
 #define QUARANTINE_MOMENT_US (30 * MS_US)
-/* Time for an answer to come in elsewhere: the longest mean of the users' routes is 290
-   ms. The users' bound runs from the third end for 3 s at least, in which news gets round
-   too. */
+/* Time for an answer to arrive from elsewhere: the longest mean latency of a route in the
+   reference deployment is 290 ms. The requirements allow at least 3 s from the third end,
+   including the time for gossip. */
 #define QUARANTINE_SETTLE_US (300 * MS_US)
-/* Entries kept; the fewest and oldest ends go first, on each node the same. A list of 64
-   is 10 KB of memory, and 5 KB to tell a node that knows nothing. */
+/* Maximum number of entries. Entries with the fewest and oldest ends are evicted first,
+   the same ones on each node. A list of 64 takes 10 KB of memory, and 5 KB to send to a
+   node that has none of it. */
 #define QUARANTINE_ENTRIES_MAX 64u
-/* Ends kept for an entry; which ones is decided by their numbers, so that all nodes keep
-   the same. */
+/* Ends kept per entry: those with the lowest ids, the same ones on all nodes. */
 #define QUARANTINE_ENDS_KEPT 6u
-/* Fingerprints that one end counts against, two for a request with a query; with more at
-   work it tells little of each. */
+/* Fingerprints that one end counts against; a request with a query has two. With more
+   requests at work, an end says little about each of them. */
 #define QUARANTINE_WORK_MAX 24u
-/* A request that comes every few minutes must be known again; one that has ended nothing
-   for so long is forgotten. */
+/* A request without a further end is forgotten after this time, which is long enough to
+   recognize a request that arrives every few minutes. */
 #define QUARANTINE_MEMORY_US (600 * SECOND_US)
-/* That a request has been cleared is remembered against reports from before, which may be
-   so late. */
+/* A cleared entry is kept for this time, because reports from before it was cleared may
+   arrive this late. */
 #define QUARANTINE_CLEARED_US (10 * SECOND_US)
-/* Pauses after the first trial and the second; from then on they double up to an hour.
-   Two trials in the ten minutes after the first leave one of the three that the users
-   allow for what was on its way. */
+/* Pauses after the first and the second trial; later pauses double, up to an hour. Two
+   trials fall within the first ten minutes, which leaves one of the three ends that the
+   requirements allow for a request that is already in transit. */
 #define QUARANTINE_PAUSE_FIRST_US (60 * SECOND_US)
 #define QUARANTINE_PAUSE_SECOND_US (600 * SECOND_US)
 #define QUARANTINE_PAUSE_MAX_US (3600 * SECOND_US)
-/* A trial that came to neither an answer nor an end is made again after this. */
+/* A trial that led to neither an answer nor an end is repeated after this pause. */
 #define QUARANTINE_PAUSE_UNDECIDED_US SECOND_US
 
-/* One target's end, as far as it concerns a request. */
+/* One end of a target, as recorded for a request. */
 typedef struct
 {
-  guint32 id;   /* random, made where it was seen */
-  gint64 at_us; /* when, on this node's clock */
+  guint32 id;   /* random; assigned by the node that saw the end */
+  gint64 at_us; /* time of the end on this node's clock */
 } QuarantineEnd;
 
-/* What is known of one request. Times are of this node's clock, 0 for never. */
+/* What is known about one request. Times are of this node's clock; 0 means never. */
 typedef struct
 {
   Fingerprint request;
-  guint32 service; /* quarantine_service_hash of its name */
-  guint32 version; /* a hash of the software's version that ended last; 0 for not known */
-  guint32 epoch;   /* rises when it is cleared: nothing from before counts any more */
+  guint32 service; /* quarantine_service_hash of the service's name */
+  guint32 version; /* hash of the software version that ended last; 0 if unknown */
+  guint32 epoch;   /* incremented when the entry is cleared; facts of earlier epochs no
+                      longer count */
   gint64 cleared_us;
   QuarantineEnd ends[QUARANTINE_ENDS_KEPT]; /* of this epoch, oldest first */
   guint end_count;
   gint64 last_end_us;
-  gint64 held_us; /* since when it is held back */
-  guint32 turn;   /* rises with each change of the two that follow, within an epoch */
-  guint32 trials; /* made since it was held back */
-  gint64 due_us;  /* the next trial */
+  gint64 held_us; /* start of the quarantine; 0 if not quarantined */
+  guint32 turn; /* version of `trials` and `due_us` within an epoch; incremented with each
+                   change */
+  guint32 trials; /* trials made since the request was quarantined */
+  gint64 due_us;  /* time of the next trial */
 } QuarantineEntry;
 
 typedef enum
 {
   QUARANTINE_FREE,
-  QUARANTINE_SUSPECT, /* it was at work at an end or more, and may run */
-  QUARANTINE_DOUBTED, /* likewise at two or more: it may run, but once for each caller */
-  QUARANTINE_TRIAL,   /* it is held back, but for one request */
+  QUARANTINE_SUSPECT, /* at least one end counts against the request, but it may run */
+  QUARANTINE_DOUBTED, /* two or more ends count against it; it may run, but once per
+                         caller */
+  QUARANTINE_TRIAL,   /* quarantined, but a trial is due: one request may run */
   QUARANTINE_HELD
 } QuarantineState;
 
 typedef struct
 {
   QuarantineState state;
-  gint64 retry_after_us; /* for HELD: until the next trial */
+  gint64 retry_after_us; /* for QUARANTINE_HELD: time until the next trial */
 } QuarantineVerdict;
 
 typedef struct Quarantine Quarantine;
 
-/* Told of each entry that is held back or let go here; `entry` is borrowed. */
+/* Called when an entry becomes quarantined, or is cleared while quarantined, on this
+   node; `entry` is borrowed. */
 typedef void (*QuarantineChanged) (const QuarantineEntry *entry, gpointer data);
 
 Quarantine *quarantine_create (Clock *clock);
@@ -112,51 +123,56 @@
 
 guint32 quarantine_service_hash (const char *service);
 
-/* Whether anything is known of requests to this service: if not, none needs a
+/* Returns whether the list has any entry for this service. If not, its requests need no
    fingerprint. */
 gboolean quarantine_watches (const Quarantine *quarantine, guint32 service);
-/* Whether a request with such a head is known: if not, its body needs no digest. */
+/* Returns whether a request with this head is listed. If not, its body needs no digest at
+   all. */
 gboolean quarantine_knows_head (const Quarantine *quarantine, guint64 head);
 
-/* A target has ended under these requests (Fingerprint), each of which stands once. */
+/* Records that a target has ended while these requests (Fingerprint) ran on it. Each
+   request must be listed once. */
 void quarantine_note_end (Quarantine *quarantine,
                           guint32 end,
                           guint32 service,
                           guint32 version,
                           const GArray *requests);
 
-/* A request has run to a good answer. TRUE when that tells something. */
+/* Records a good answer to a request. Returns TRUE if this cleared an entry. */
 gboolean quarantine_note_answer (Quarantine *quarantine, const Fingerprint *request);
 
-/* What may become of a request now. */
+/* Returns whether a request may run now. */
 QuarantineVerdict quarantine_check (Quarantine *quarantine, const Fingerprint *request);
 
-/* Makes the trial that is due; FALSE when none is, for another may have been made. */
+/* Starts the trial that is due. Returns FALSE if none is due, for example because another
+   node has started it. */
 gboolean quarantine_begin_trial (Quarantine *quarantine, const Fingerprint *request);
-/* The trial came to neither an answer nor an end. */
+/* Records that a trial led to neither an answer nor an end; it is repeated once. */
 void quarantine_trial_undecided (Quarantine *quarantine, const Fingerprint *request);
 
-/* A target runs another version of the service's software: what ended the one before may
-   be tried, unless two trials have been made. */
+/* Records that a target runs another version of the service's software. Quarantined
+   requests that ended a target of a different version are due for a trial at once, unless
+   they have had two trials. */
 void quarantine_note_version (Quarantine *quarantine, guint32 service, guint32 version);
 
-/* An operator lets an entry go, named by its first digits. FALSE for none or several. */
+/* Clears the entry whose fingerprint text is `digits`, on an operator's request. Returns
+   FALSE if no entry or several entries match. */
 gboolean quarantine_lift (Quarantine *quarantine, const char *digits);
 
-/* What time brings about: holds back what has settled, forgets what is old. */
+/* Quarantines requests whose time to settle has passed, and forgets old entries. */
 void quarantine_tick (Quarantine *quarantine);
 
-/* All entries (QuarantineEntry), borrowed. */
+/* Returns all entries (QuarantineEntry), borrowed. */
 const GArray *quarantine_entries (const Quarantine *quarantine);
 
-/* --- News between nodes; times in it are ages, so that clocks are never compared. --- */
+/* --- News between nodes. Times are sent as ages; clocks are never compared. --- */
 
 typedef struct
 {
   Fingerprint request;
-  gint64 held_age_us;    /* -1 for not held back */
-  gint64 cleared_age_us; /* of the epoch; -1 for the first */
-  gint64 due_in_us;      /* negative when it is due */
+  gint64 held_age_us;    /* -1 if not quarantined */
+  gint64 cleared_age_us; /* since the epoch began; -1 for the first epoch */
+  gint64 due_in_us;      /* negative when the trial is overdue */
   gint64 end_ages_us[QUARANTINE_ENDS_KEPT];
   guint32 end_ids[QUARANTINE_ENDS_KEPT];
   guint end_count;
@@ -170,19 +186,21 @@
 typedef enum
 {
   QUARANTINE_NEWS_NONE,
-  QUARANTINE_NEWS_SOME,  /* of first ends: most of them come to nothing */
-  QUARANTINE_NEWS_URGENT /* of what is held back, let go, or soon may be */
+  QUARANTINE_NEWS_SOME,  /* of first ends, most of which lead to no quarantine */
+  QUARANTINE_NEWS_URGENT /* of requests that are quarantined, were just cleared, or may
+                            soon be quarantined */
 } QuarantineUrgency;
 
-/* The news to put on one message, at most `max`, urgent ones first; each is told a few
-   times. */
+/* Takes the news for one message, at most `max` and the most urgent first, and returns
+   how many. Each change is sent a limited number of times. */
 guint quarantine_news (Quarantine *quarantine, QuarantineNews *news, guint max);
 QuarantineUrgency quarantine_urgency (const Quarantine *quarantine);
-/* The same whether or not it has been told: another part with each call. */
+/* Takes up to `max` entries whether or not they have been sent before, the next part of
+   the list with each call. */
 guint quarantine_some (Quarantine *quarantine, QuarantineNews *news, guint max);
-/* Takes news in; TRUE when it changed something. */
+/* Merges received news. Returns TRUE if it changed the list. */
 gboolean quarantine_merge (Quarantine *quarantine, const QuarantineNews *news);
-/* Equal lists have equal digests; 0 for an empty one. */
+/* Returns a digest of the list, equal on nodes with equal lists; 0 for an empty one. */
 guint32 quarantine_digest (const Quarantine *quarantine);
 
 #endif
--- a/core/src/request/quarantine-blame.c
+++ b/core/src/request/quarantine-blame.c
@@ -1,6 +1,6 @@
 #include "quarantine-private.h"
 
-/* Which of an entry's ends count; NULL for all. */
+/* Decides which of an entry's ends count; NULL counts all. */
 typedef gboolean (*Counts) (const Quarantine *quarantine,
                             const QuarantineEntry *entry,
                             guint32 end);
@@ -45,8 +45,9 @@
   return FALSE;
 }
 
-/* An end is laid to the request that was at most of them: one that was only beside it
-   there has been beside it at fewer. */
+/* Returns whether an end counts against this entry: the request with the most ends is
+   taken as the cause, because one that merely ran on the same target has been present at
+   fewer. */
 static gboolean
 is_own (const Quarantine *quarantine, const QuarantineEntry *entry, guint32 end)
 {
--- a/core/src/request/quarantine-list.c
+++ b/core/src/request/quarantine-list.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Ends that lie no further apart are ranked as if they were of one moment: nodes reckon
-   it differently. */
+/* Last ends that are at most this far apart rank equally, because nodes compute slightly
+   different times for them. */
 #define SAME_TIME_US SECOND_US
 
 Quarantine *
@@ -86,7 +86,7 @@
   g_array_remove_index_fast (quarantine->tellings, i);
 }
 
-/* What is kept of two entries when there is no room for both: each node decides alike. */
+/* Orders entries for eviction; all nodes decide alike. */
 static gboolean
 matters_less (const QuarantineEntry *entry, const QuarantineEntry *other)
 {
@@ -99,7 +99,7 @@
   return entry->request.head < other->request.head;
 }
 
-/* FALSE where the list is full of what matters more. */
+/* Returns FALSE if the list is full of entries that matter more. */
 static gboolean
 make_room (Quarantine *quarantine, const QuarantineEntry *rank)
 {
@@ -145,7 +145,7 @@
       urgent ? QUARANTINE_TELLINGS_URGENT : QUARANTINE_TELLINGS;
 }
 
-/* Where an end belongs in the order of time. */
+/* Returns the index that keeps the ends sorted by time. */
 static guint
 place_of (const QuarantineEntry *entry, const QuarantineEnd *end)
 {
@@ -175,8 +175,8 @@
   entry->end_count++;
 }
 
-/* Of more ends than are kept, those with the lowest numbers stay, on each node the same.
- */
+/* When an entry is full, the ends with the lowest ids are kept, so that each node keeps
+   the same ones. */
 gboolean
 quarantine_add_end (QuarantineEntry *entry, const QuarantineEnd *end)
 {
--- a/core/src/request/quarantine-news.c
+++ b/core/src/request/quarantine-news.c
@@ -1,6 +1,6 @@
 #include "quarantine-private.h"
 
-/* Nothing that is kept is older. */
+/* Upper bound on the age of anything kept. */
 #define AGE_MAX_US (QUARANTINE_MEMORY_US + QUARANTINE_PAUSE_MAX_US)
 
 static void
@@ -19,7 +19,8 @@
                             .cleared_age_us = entry->epoch ? now - entry->cleared_us : -1,
                             .turn = entry->turn,
                             .trials = entry->trials,
-                            /* Without a trial there is no time of the next. */
+                            /* Before the first trial, `due_us` is not a time that may be
+                               sent. */
                             .due_in_us = entry->turn ? entry->due_us - now : 0 };
   for (guint i = 0; i < entry->end_count; i++)
     {
@@ -45,8 +46,7 @@
   return urgency;
 }
 
-/* The entry that has been told least since it changed; -1 when all have been told enough.
- */
+/* Returns the index of the entry that has most sends left, or -1 if no entry has any. */
 static gint
 least_told (const Quarantine *quarantine, const gboolean *taken)
 {
@@ -109,7 +109,7 @@
   return TRUE;
 }
 
-/* News of what would be forgotten at once makes no entry. */
+/* Returns whether an entry made from this news would be forgotten at once. */
 static gboolean
 is_stale (const QuarantineNews *news)
 {
@@ -158,7 +158,7 @@
   return TRUE;
 }
 
-/* What is said of the entry's present epoch. */
+/* Merges news of the entry's current epoch. */
 static gboolean
 merge_present (Quarantine *quarantine,
                QuarantineEntry *entry,
@@ -174,7 +174,8 @@
   return any;
 }
 
-/* One for news of a request that is not known here; NULL where it is not worth one. */
+/* Creates an entry for news of an unlisted request. Returns NULL if the news is stale or
+   the list is full of entries that matter more. */
 static QuarantineEntry *
 make_for (Quarantine *quarantine, const QuarantineNews *news, gint64 now)
 {
@@ -190,7 +191,7 @@
   return quarantine_make (quarantine, &rank);
 }
 
-/* TRUE when it changed the entry. */
+/* Returns TRUE if the news changed the entry. */
 static gboolean
 merge_into (Quarantine *quarantine,
             QuarantineEntry *entry,
@@ -225,7 +226,7 @@
   if (!entry)
     return FALSE;
   urgent = quarantine_is_urgent (entry);
-  /* An entry that has just been made is news itself. */
+  /* A new entry is always forwarded. */
   if (!merge_into (quarantine, entry, news, now) && known)
     return FALSE;
   quarantine_tell (quarantine, entry, urgent || quarantine_is_urgent (entry));
@@ -238,8 +239,8 @@
   return (digest ^ value) * 16777619u;
 }
 
-/* Of what is the same everywhere: no times, and nothing of what only guards against late
-   reports. */
+/* Covers only what is equal on all nodes: no times, and no entries that only guard
+   against late reports. */
 static guint32
 entry_digest (const QuarantineEntry *entry)
 {
--- a/core/src/request/quarantine-private.h
+++ b/core/src/request/quarantine-private.h
@@ -1,7 +1,7 @@
 /*
- * What the files of the quarantine share: quarantine.c what becomes of a request,
- * quarantine-list.c the entries and what is kept of them, quarantine-blame.c which
- * request an end counts against, quarantine-news.c what nodes tell each other.
+ * Internals of the quarantine, shared by quarantine.c (verdicts and trials),
+ * quarantine-list.c (the entries and their eviction), quarantine-blame.c (which request
+ * an end counts against) and quarantine-news.c (news between nodes).
  */
 #ifndef CORE_QUARANTINE_PRIVATE_H
 #define CORE_QUARANTINE_PRIVATE_H
@@ -12,7 +12,7 @@
 {
   Clock *clock;
   GArray *entries;  /* of QuarantineEntry */
-  GArray *tellings; /* of guint, one for each entry: how often it is still to be told */
+  GArray *tellings; /* of guint, one per entry: how often its news is still to be sent */
   guint next_some;
   QuarantineChanged changed;
   gpointer data;
@@ -21,37 +21,38 @@
 QuarantineEntry *quarantine_entry_at (const Quarantine *quarantine, guint i);
 void quarantine_forget (Quarantine *quarantine, guint i);
 
-/* The entry of a request, or NULL. Pointers hold until the next one is made or forgotten.
- */
+/* Returns the entry of a request, or NULL. The pointer is valid until an entry is added
+   or removed. */
 QuarantineEntry *quarantine_find (const Quarantine *quarantine,
                                   const Fingerprint *request);
-/* One for a request that has none; `rank` says what it is and what will be known of it.
-   NULL where the list is full of what matters more. */
+/* Adds an entry for a request that has none. `rank` holds its identity and what will be
+   known about it, for comparison with others. Returns NULL if the list is full of entries
+   that matter more. */
 QuarantineEntry *quarantine_make (Quarantine *quarantine, const QuarantineEntry *rank);
 
-/* Adds an end, unless it is known; TRUE when it was news. */
+/* Adds an end unless it is listed already. Returns TRUE if it was added. */
 gboolean quarantine_add_end (QuarantineEntry *entry, const QuarantineEnd *end);
-/* Takes all back that counted against it: a later epoch begins, which did so then. */
+/* Clears the entry and begins `epoch`, at the time `at_us`. */
 void quarantine_clear (Quarantine *quarantine,
                        QuarantineEntry *entry,
                        guint32 epoch,
                        gint64 at_us);
-/* It is held back since then. */
+/* Quarantines the request as of `at_us`. */
 void quarantine_hold (Quarantine *quarantine, QuarantineEntry *entry, gint64 at_us);
 
-/* So often news is told to others: what is urgent, and what is not. What gets lost is
-   mended by digests. */
+/* How often news is sent, if urgent and if not. Messages that get lost are repaired by
+   the comparison of digests. */
 #define QUARANTINE_TELLINGS_URGENT 12u
 #define QUARANTINE_TELLINGS 4u
 
-/* The entry has changed and is to be told. */
+/* Schedules an entry's news to be sent after a change. */
 void
 quarantine_tell (Quarantine *quarantine, const QuarantineEntry *entry, gboolean urgent);
-/* Whether what is known of it by now is urgent. */
+/* Returns whether what is known of the entry now is urgent. */
 gboolean quarantine_is_urgent (const QuarantineEntry *entry);
 
-/* The moments at which ends count against it; and the last of the first QUARANTINE_ENDS.
- */
+/* Returns the number of distinct moments with an end that counts against the entry. Sets
+   `decisive_us` to that of the QUARANTINE_ENDS-th, if there are so many. */
 guint quarantine_moments (const Quarantine *quarantine,
                           const QuarantineEntry *entry,
                           gint64 *decisive_us);
--- a/core/src/request/quarantine.c
+++ b/core/src/request/quarantine.c
@@ -2,14 +2,14 @@
 
 #include <string.h>
 
-/* Trials that are made at once, and after a short pause. */
+/* Trials that are made at once and after the short first pause. */
 #define TRIALS_EARLY 2u
 #define PAUSE_DOUBLINGS_MAX 4u
-/* A trial that was undecided is made again once: each is one more that reaches a target.
- */
+/* An undecided trial is repeated only once, because each repetition reaches another
+   target. */
 #define UNDECIDED_TURNS_MAX 2u
 
-/* An end of one that is held back is nobody else's. */
+/* An end of a quarantined request counts against no other. */
 static gboolean
 any_is_held (const Quarantine *quarantine, const GArray *requests)
 {
@@ -56,8 +56,9 @@
   gboolean held = any_is_held (quarantine, requests);
   guint room = QUARANTINE_WORK_MAX;
 
-  /* Those that are known already come first: with more at work than count, a request that
-     ends one target after the other is counted each time once it has been counted. */
+  /* Listed requests are counted first: when more requests were running than one end
+     counts against, a request that ends one target after another is then counted each
+     time after the first. */
   for (guint known = 2; known-- > 0;)
     for (guint i = 0; i < requests->len && room > 0; i++)
       {
@@ -97,7 +98,7 @@
 {
   gint64 decisive_us = 0;
 
-  /* Most have one end: what they share with others need not be looked at. */
+  /* Most entries have one end; this skips the comparison with other entries for them. */
   if (entry->held_us || entry->end_count < QUARANTINE_ENDS ||
       quarantine_moments (quarantine, entry, &decisive_us) < QUARANTINE_ENDS ||
       now < decisive_us + QUARANTINE_SETTLE_US)
