--- a/core/include/core/allowance.h
+++ b/core/include/core/allowance.h
@@ -1,101 +1,103 @@
 /*
- * Allowances of client accounts over a whole fleet: in any span of a window's length no
- * more requests are let through than an account's rate and burst allow, whichever nodes
- * they come to and whatever becomes of nodes and paths.
+ * Rate limits ("allowances") of client accounts, enforced over a whole fleet. In any time
+ * span of a window's length, no more requests are let through than an account's rate and
+ * burst allow, whichever nodes they arrive at and whatever nodes or network paths fail.
  *
- * Load patterns: one caller's flood, at one node, at all or moving from hall to hall; a
- * fleet that is cut, or starts again at once; an account of one request a second whose
- * callers sit on any of 1,200 nodes.
+ * Load patterns: a flood from one caller, at one node, at all nodes or moving from hall
+ * to hall; a partitioned fleet, or one that restarts as a whole; an account of one
+ * request a second whose callers may be at any of 1,200 nodes.
  *
- * Rule: each account has a few lenders among the nodes, found by hashing over the live
- * members. Each holds a bucket with its share of the rate and of the burst, and lends
- * single requests out of it, which are good for ALLOWANCE_HOLD_US. A request that finds
- * none at hand has its node ask; an answer takes a round trip. Nothing is owed to a node
- * for being one of many, so that demand may move at any moment, and the smallest
- * allowance is of use to the largest fleet.
+ * Rule: each account has a few lenders among the nodes, selected by rendezvous hashing
+ * over the live members. Each lender has a token bucket with its share of the rate and of
+ * the burst, and leases single requests out of it. A lease expires after
+ * ALLOWANCE_HOLD_US. A node that has no lease for a request asks a lender for some, which
+ * takes a round trip. No node has a fixed share, so that demand may move at any moment
+ * and even the smallest allowance works in the largest fleet.
  *
- * Why it is safe: what is used within a window was lent within the window and one holding
- * time before it, which a bucket bounds. A bucket begins empty with the life of its
- * lender, and with the moment at which a node becomes one, so that what another life or
- * another lender lent before is never lent twice. A lender's share shrinks with the part
- * of the fleet that it sees, so that parts that cannot hear each other lend no more
- * together than the whole.
+ * Safety: requests used within a window were leased within the window or within one
+ * ALLOWANCE_HOLD_US before it, which the bucket bounds. A bucket starts empty when its
+ * lender starts and when a node becomes a lender, so that nothing that a previous process
+ * or a previous lender leased is leased twice. A lender's share shrinks with the part of
+ * the fleet that it sees, so that the parts of a partitioned fleet together lease no more
+ * than the whole.
  */
 #ifndef CORE_ALLOWANCE_H
 #define CORE_ALLOWANCE_H
 
 #include <core/clock.h>
 
-/* How long a request that was lent may be held before it is used. Long enough to serve
-   the callers of a busy node from one answer; each second of it would take a second's
-   rate out of the burst. */
+/* Time for which a leased request may be used. It is long enough to serve the callers of
+   a busy node from one answer. Each second of it would take a second's rate out of the
+   burst. */
 #define ALLOWANCE_HOLD_US (500 * MS_US)
-/* Lenders of an account, in as many data halls as there are: with one of them gone two
-   thirds of the allowance are left at once. */
+/* Lenders per account, in different data halls where there are enough: if one of them
+   fails, two thirds of the allowance remain available at once. */
 #define ALLOWANCE_LENDERS 3u
 
-/* How allowances are counted, alike for all accounts. */
+/* The counting rule, the same for all accounts. */
 typedef struct
 {
-  gint64 window_us; /* any span of that length counts */
-  double overage;   /* such a share may be let through beyond an allowance */
-  double slack;     /* and so many requests more */
+  gint64 window_us; /* length of the time spans over which requests are counted */
+  double overage;   /* share by which an allowance may be exceeded */
+  double slack;     /* further requests by which it may be exceeded */
 } AllowanceRule;
 
-/* One account's. */
+/* The allowance of one account. */
 typedef struct
 {
   double per_s; /* requests a second */
-  double burst; /* and so many at once beyond them */
+  double burst; /* requests at once beyond that rate */
 } AllowanceTerms;
 
-/* What a bucket takes in a second, and holds at most; in requests. */
+/* A token bucket's refill rate and capacity, in requests. */
 typedef struct
 {
   double per_s;
   double depth;
 } AllowanceRate;
 
-/* The bucket for `share` (0 to 1) of an allowance. */
+/* Returns the bucket for `share` (0 to 1) of an allowance. */
 AllowanceRate
 allowance_rate (const AllowanceRule *rule, const AllowanceTerms *terms, double share);
 
-/* One that may lend: a live member. */
+/* A live member, which may become a lender. */
 typedef struct
 {
   const char *node;
   const char *hall;
-  guint64 hash; /* allowance_hash of its name */
+  guint64 hash; /* allowance_hash of `node` */
 } AllowanceNode;
 
-/* What nodes are ranked by, with an account's. */
+/* Returns the hash of a node's or an account's name; both together rank the nodes for the
+   account. */
 guint64 allowance_hash (const char *name);
 
 /*
- * The lenders of an account among `nodes` (AllowanceNode), the same in any order of them;
- * names are borrowed. Returns how many there are.
+ * Selects the lenders of an account among `nodes` (AllowanceNode), independent of the
+ * order of `nodes`. The names in `lenders` are borrowed from `nodes`. Returns the number
+ * of lenders.
  */
 guint allowance_lenders (const GArray *nodes,
                          const char *account,
                          const char *lenders[ALLOWANCE_LENDERS]);
 
-/* The buckets of one node, of the accounts that it lends for. */
+/* The buckets of one node, for the accounts of which it is a lender. */
 typedef struct AllowanceBook AllowanceBook;
 
 typedef struct
 {
   guint lent;
-  gint64 retry_after_us; /* when to ask again, if it is less than was asked for */
+  gint64 retry_after_us; /* when to ask again, if fewer were leased than asked for */
 } AllowanceLoan;
 
-/* The clock is borrowed. */
+/* `clock` is borrowed. */
 AllowanceBook *allowance_book_create (const AllowanceRule *rule, Clock *clock);
 void allowance_book_destroy (AllowanceBook *book);
 
 /*
- * Lends up to `wanted` requests out of `share` of an account's allowance. `since_us` is
- * the moment from which on this node alone lends that share: a bucket that is new begins
- * empty there.
+ * Leases up to `wanted` requests out of `share` of an account's allowance. `since_us` is
+ * the time from which on this node alone leases that share: a new bucket is empty at that
+ * time.
  */
 AllowanceLoan allowance_book_lend (AllowanceBook *book,
                                    const char *account,
@@ -104,47 +106,48 @@
                                    gint64 since_us,
                                    guint wanted);
 
-/* Whether the account is lent for; `data` is the caller's. */
+/* Returns whether this node is a lender of the account; `data` is the caller's. */
 typedef gboolean (*AllowanceIsOwn) (const char *account, gpointer data);
 
-/* Forgets the buckets of accounts that are not lent for any more, and those not asked for
-   in so long that they are full. */
+/* Removes the buckets of accounts of which this node is no longer a lender, and those
+   that have not been used for long enough to be full. */
 void allowance_book_prune (AllowanceBook *book, AllowanceIsOwn is_own, gpointer data);
 
-/* What one node has borrowed, by account. */
+/* The leases that one node holds, by account. */
 typedef struct AllowancePurse AllowancePurse;
 
 AllowancePurse *allowance_purse_create (Clock *clock);
 void allowance_purse_destroy (AllowancePurse *purse);
 
-/* Uses one of the requests at hand; FALSE for none. */
+/* Uses one leased request. Returns FALSE if there is none. */
 gboolean allowance_purse_spend (AllowancePurse *purse, const char *account);
 
-/* How many are worth borrowing beyond those that wait, now: what will be used before they
-   are worth nothing any more. */
+/* Returns how many requests to lease in advance, in addition to those that already wait:
+   the number that is expected to be used before the leases expire. */
 guint allowance_purse_reserve (const AllowancePurse *purse, const char *account);
 
-/* Adds what was lent in answer to a question sent at `asked_us`. */
+/* Adds `count` requests leased by the answer to a question sent at `asked_us`. */
 void allowance_purse_add (AllowancePurse *purse,
                           const char *account,
                           guint count,
                           gint64 asked_us);
 
-/* Notes that a lender is not worth asking for a while. */
+/* Excludes a lender from allowance_purse_pick for `for_us`. */
 void allowance_purse_pass_over (AllowancePurse *purse,
                                 const char *account,
                                 const char *lender,
                                 gint64 for_us);
 
-/* The first of `lenders` that is worth asking now, or -1, and then how long until one is.
- */
+/* Returns the index of the first of `lenders` that may be asked now. Otherwise returns -1
+   and sets `wait_us` to the time until one may be asked. */
 gint allowance_purse_pick (const AllowancePurse *purse,
                            const char *account,
                            const char *const *lenders,
                            guint count,
                            gint64 *wait_us);
 
-/* Requests of the account a second that were let through here of late. */
+/* Returns the recent rate at which this node let requests of the account through, in
+   requests a second. */
 double allowance_purse_rate (const AllowancePurse *purse, const char *account);
 
 #endif
--- a/core/src/request/allowance-book.c
+++ b/core/src/request/allowance-book.c
@@ -2,20 +2,20 @@
 
 #include <math.h>
 
-/* Who asks an empty bucket in vain is told when to come again, so that all of them
-   together ask so many times for each request that comes in, and some more where little
-   does. */
+/* A node that finds the bucket empty is told when to ask again, such that all nodes
+   together ask ASKS_PER_REQUEST times for each request that the bucket refills, plus
+   ASKS_PER_S times a second, which matters for small allowances. */
 #define ASKS_PER_REQUEST 2.0
 #define ASKS_PER_S 10.0
 #define RETRY_MIN_US (20 * MS_US)
 #define RETRY_MAX_US (2 * SECOND_US)
-/* Without a question in so long a bucket of any depth that is used is full. */
+/* After this time without use, a bucket of any capacity that occurs is full. */
 #define IDLE_US (60 * SECOND_US)
 
 typedef struct
 {
   double level;
-  double asks; /* a second, of late */
+  double asks; /* recent questions a second */
   gint64 at_us;
 } Bucket;
 
--- a/core/src/request/allowance-purse.c
+++ b/core/src/request/allowance-purse.c
@@ -3,21 +3,22 @@
 #include <math.h>
 #include <string.h>
 
-/* What is used a second is a mean over about one. */
+/* Time constant of the mean rate of use. */
 #define RATE_SPAN_US SECOND_US
-/* Of the holding time so much is borrowed for: what comes later has its own answer. */
+/* Share of ALLOWANCE_HOLD_US for which requests are leased in advance; later requests are
+   covered by later answers. */
 #define RESERVE_SHARE 0.5
-/* Accounts without a request in so long are forgotten. */
+/* Accounts without a request for this long are removed. */
 #define IDLE_US (30 * SECOND_US)
 
-/* Requests that were lent with one answer. */
+/* Requests leased with one answer. */
 typedef struct
 {
   guint count;
   gint64 until_us;
 } Lot;
 
-/* A lender that is not asked for a while. */
+/* A lender that is not asked until `until_us`. */
 typedef struct
 {
   char *lender;
@@ -26,10 +27,10 @@
 
 typedef struct
 {
-  GArray *lots;   /* of Lot, the oldest first */
+  GArray *lots;   /* of Lot, oldest first */
   GArray *pauses; /* of Pause */
-  double rate;    /* requests let through a second */
-  gint64 at_us;   /* when the last was */
+  double rate;    /* requests let through a second, as of `at_us` */
+  gint64 at_us;   /* when the last request was let through */
 } Holding;
 
 struct AllowancePurse
@@ -167,9 +168,10 @@
 }
 
 /*
- * By what is let through and not by what comes: borrowed for a flood, most would be worth
- * nothing before it is used. The first request of a node that was quiet says nothing of a
- * second one. What is borrowed is used up by half before more is asked for.
+ * The reserve follows the rate of requests let through rather than of those that arrive:
+ * most leases for a flood would expire unused. The first request after an idle time does
+ * not predict a second one, hence the subtraction of 1. No more is leased in advance
+ * until half of the reserve is used.
  */
 guint
 allowance_purse_reserve (const AllowancePurse *purse, const char *account)
@@ -209,7 +211,7 @@
   return NULL;
 }
 
-/* Lenders change with the fleet: those whose time is over make room. */
+/* Lenders change with the fleet, so expired entries are removed. */
 static void
 drop_pauses (Holding *holding, gint64 now_us)
 {
--- a/core/src/request/allowance.c
+++ b/core/src/request/allowance.c
@@ -2,11 +2,11 @@
 
 #include <string.h>
 
-/* Of the bound so much is lent: what is counted elsewhere may be counted a little later.
- */
+/* Share of the bound that is leased, because a count taken elsewhere may see requests a
+   little later. */
 #define BOUND_USED 0.98
-/* The part of the bound that is kept for what comes at once, where rate and holding time
-   would leave none of it. */
+/* Minimum share of the bound that is kept for bursts, where the rate over the window and
+   ALLOWANCE_HOLD_US would leave less. */
 #define DEPTH_MIN 0.03
 
 AllowanceRate
@@ -22,8 +22,8 @@
   return (AllowanceRate){ per_s * share, depth * share };
 }
 
-/* The finalizer of a 64-bit mix (Stafford's variant 13): neighbouring hashes come out
-   unlike each other. */
+/* The finalizer of a 64-bit mix (Stafford's variant 13), which makes similar hashes
+   differ widely. */
 static guint64
 mix (guint64 value)
 {
@@ -47,9 +47,10 @@
   return FALSE;
 }
 
-/* The best of those not taken yet, of a hall that has no lender where `new_hall`. Names
-   are compared for the few that would be the best alone: with each node's hash at hand a
-   fleet of 1,200 is gone through in 7 us for all three lenders. */
+/* Returns the best-ranked node that is not taken yet, or NULL; with `new_hall`, only
+   nodes of halls without a lender qualify. Names are compared only for nodes that would
+   become the best so far: with the nodes' precomputed hashes, selecting all three lenders
+   in a fleet of 1,200 takes 7 us. */
 static const AllowanceNode *
 best_of (const GArray *nodes,
          guint64 account,
