--- a/core/include/core/detector.h
+++ b/core/include/core/detector.h
@@ -1,6 +1,7 @@
 /*
- * Detection of a sick target from its real work, compared with the same service's other
- * targets. Each kind is a table of functions; the sidecar feeds every end of a request.
+ * Detection of a sick target from its real traffic, in comparison with the other targets
+ * of the same service ("siblings"). Each kind of detector is a table of functions; the
+ * sidecar passes the result of every request to it.
  */
 #ifndef CORE_DETECTOR_H
 #define CORE_DETECTOR_H
@@ -10,63 +11,67 @@
 
 typedef struct Detector Detector;
 
-/* One request's end at the target. */
+/* The result of one request at the target. */
 typedef struct
 {
-  gboolean failed; /* broken, timed out, refused the connection, or a 5xx answer */
-  gboolean broken; /* of these, no answer that can be used: a 5xx is no break */
+  gboolean failed; /* broken off, timed out, connection refused, or answered with a 5xx
+                      status */
+  gboolean broken; /* failed without a usable answer; FALSE for a 5xx */
   gint64 took_us;
-  guint sibling_us;  /* the median of the siblings' mean latencies; 0 when not known */
-  guint sibling_ppm; /* the siblings' median failures in a million */
+  guint sibling_us;  /* median of the siblings' mean latencies; 0 if unknown */
+  guint sibling_ppm; /* median of the siblings' failure rates, in parts per million */
 } DetectorSample;
 
 typedef enum
 {
-  DETECTOR_NONE,  /* never finds anything */
-  DETECTOR_EWMA,  /* failures in a row, and running means against the siblings' */
-  DETECTOR_CUSUM, /* sequential tests: log-likelihood ratios that add up */
+  DETECTOR_NONE, /* never reports a target as sick */
+  DETECTOR_EWMA, /* consecutive failures, and running means compared with the siblings' */
+  DETECTOR_CUSUM, /* sequential tests on cumulative log-likelihood ratios */
   DETECTOR_KINDS
 } DetectorKind;
 
 const char *detector_kind_name (DetectorKind kind);
 
-/* The kind and strictness that a service's setting stands for. */
+/* Creates the detector for a service's setting; `clock` is borrowed. */
 Detector *detector_create (Detection setting, Clock *clock);
-/* Any kind at either setting, for comparisons. */
+/* Creates a detector of any kind at any setting, for comparisons. */
 Detector *detector_create_kind (DetectorKind kind, Detection setting, Clock *clock);
 void detector_destroy (Detector *detector);
 
 /*
- * Takes one sample in. While the target is sick only failures of what was sent after it
- * fell sick count against it: older work says nothing of how it does now, and FALSE is
- * returned for it.
+ * Adds one sample. While the target is sick, a failure of a request that was sent before
+ * it became sick is ignored, because it says nothing about the target's present state;
+ * FALSE is returned for it.
  */
 gboolean detector_observe (Detector *detector, const DetectorSample *sample);
 
 /*
- * 0 while the target is held healthy; else how bad it is, up to DETECTOR_SEVERITY_MAX.
- * Time alone may lower it: a sick target that gets no work is given another chance.
+ * Returns 0 while the target is considered healthy, else how sick it is, up to
+ * DETECTOR_SEVERITY_MAX. A sick target that gets no work for long enough becomes healthy
+ * again.
  */
 guint detector_severity (Detector *detector);
 
 #define DETECTOR_SEVERITY_MAX 1000u
 
-/* The recent mean latency and failures in a million, and on how many they rest. */
+/* Returns the mean latency and the failures in parts per million over the latest samples,
+   and the total number of samples. */
 void detector_summary (const Detector *detector,
                        guint *latency_us,
                        guint *failures_ppm,
                        guint *samples);
 
-/* Trials that have failed since it fell sick. */
+/* Returns the number of failed trials since the target became sick; 0 while it is
+   healthy. */
 guint detector_failed_trials (const Detector *detector);
 
-/* Whether it fell sick by breaking off at once what it was sent. */
+/* Returns whether the target is sick and became so by breaking off a request at once. */
 gboolean detector_is_abrupt (const Detector *detector);
 
-/* Whether it is held sick for slowness alone. */
+/* Returns whether the target is sick because of slow answers alone. */
 gboolean detector_is_slow (const Detector *detector);
 
-/* Why it is held sick, or "". */
+/* Returns why the target is considered sick, or "". */
 const char *detector_why (const Detector *detector);
 
 #endif
--- a/core/include/core/shedding.h
+++ b/core/include/core/shedding.h
@@ -1,7 +1,8 @@
 /*
- * Whether a target turns work away though it has free slots. The sidecar counts its slots
- * exactly, so that one such refusal is telling. It costs no harm, for what was turned
- * away has not run, but a try; others are asked first for a while.
+ * Tracks whether a target refuses requests although it has free slots. The sidecar counts
+ * a target's slots exactly, so that a single such refusal is significant. A refused
+ * request has not run, so that a refusal costs no more than a retry; other targets are
+ * preferred for a while.
  */
 #ifndef CORE_SHEDDING_H
 #define CORE_SHEDDING_H
@@ -14,10 +15,10 @@
 Shedding *shedding_create (Clock *clock);
 void shedding_destroy (Shedding *shedding);
 
-/* The target has turned a request away. */
+/* Records that the target has refused a request. */
 void shedding_note (Shedding *shedding);
 
-/* Whether others should be asked first. */
+/* Returns whether other targets should be preferred. */
 gboolean shedding_is_on (const Shedding *shedding);
 
 #endif
--- a/core/include/core/succession.h
+++ b/core/include/core/succession.h
@@ -1,14 +1,14 @@
 /*
- * Which start of a target is the present one, by its heartbeats. Each start has a name of
- * its own: the target's identifier, and the time of its start where it says one, for a
- * target may start again under the identifier that it had. Heartbeats of a start that has
- * crashed may come seconds late, also after the next has registered and after the node
- * itself has started anew.
+ * Determines from heartbeats which start of a target is current. Each start has a name:
+ * the target's identifier, followed by the start time if the target reports one, because
+ * a target may restart under the same identifier. Heartbeats of a crashed start may
+ * arrive seconds late, even after the next start has registered and after the node itself
+ * has restarted.
  *
- * Rule: another name takes over at once, for a crash is not announced. The one that it
- * replaces comes back only if it goes on: twice more, while the other is silent. One that
- * has said that it ends never does, nor does one of the same identifier that began
- * earlier.
+ * Rule: a heartbeat with a new name takes over at once, because a crash is not announced.
+ * The start that was replaced becomes current again only if it sends two more heartbeats
+ * and the current one is silent. A start that has announced its end never returns, nor
+ * does a start of the same identifier with an earlier start time.
  */
 #ifndef CORE_SUCCESSION_H
 #define CORE_SUCCESSION_H
@@ -19,10 +19,9 @@
 
 typedef enum
 {
-  SUCCESSION_LATE, /* says nothing: older than what is known, or of a start that is over
-                    */
-  SUCCESSION_SAME, /* the present start goes on */
-  SUCCESSION_NEXT  /* it is the present start from now on */
+  SUCCESSION_LATE, /* ignored: an old heartbeat, or one of a past start */
+  SUCCESSION_SAME, /* from the current start */
+  SUCCESSION_NEXT  /* from a start that has just become current */
 } SuccessionAnswer;
 
 /* `clock` is borrowed. */
@@ -30,21 +29,22 @@
 void succession_destroy (Succession *succession);
 
 /*
- * The name of a start: the identifier alone where `born`, the Unix millisecond of its
- * start, is 0. The caller frees it.
+ * Returns the name of a start: the identifier alone if `born`, its start time in Unix
+ * milliseconds, is 0. The caller frees it.
  */
 char *succession_name (const char *identifier, gint64 born);
-/* The identifier in a start's name; the caller frees it. */
+/* Returns the identifier in the name of a start; the caller frees it. */
 char *succession_identifier (const char *name);
 
-/* A heartbeat of the start of that name; `sequence` rises with each of one start. */
+/* Processes a heartbeat of the start `name`; `sequence` rises with each heartbeat of a
+   start. */
 SuccessionAnswer
 succession_beat (Succession *succession, const char *name, gint64 sequence);
 
-/* A start has said that it ends. */
+/* Records that a start has announced its end. */
 void succession_end (Succession *succession, const char *name);
 
-/* The present start's name; NULL before the first heartbeat. */
+/* Returns the name of the current start; NULL before the first heartbeat. */
 const char *succession_present (const Succession *succession);
 
 #endif
--- a/core/src/health/detector-cusum.c
+++ b/core/src/health/detector-cusum.c
@@ -1,19 +1,19 @@
 /*
- * Page's cumulative sums of log-likelihood ratios: of a raised failure share for a
- * Bernoulli variable, and of a doubled mean for an exponential one. A target whose
- * answer times vary less than that is told apart sooner. With a bound of h the mean
+ * Page's cumulative sums of log-likelihood ratios: of an increased failure rate for a
+ * Bernoulli variable, and of a doubled mean for an exponential variable. Answer times
+ * that vary less than exponentially are told apart sooner. With a bound of h, the mean
  * number of samples to a false alarm is at least e^h (Lorden, 1971).
  */
 #include "detector-kind.h"
 
 #include <math.h>
 
-/* The failure share of a sick target, above that of its siblings. */
+/* Added to the siblings' failure rate, this is the failure rate of a sick target. */
 #define SICK_FAILURES 0.10
 #define HEALTHY_FAILURES 0.005
 #define SICK_FAILURES_MAX 0.95
 #define SICK_SLOWDOWN 2.0
-/* One answer, however late, is not proof. */
+/* A single answer, however late, is not sufficient evidence. */
 #define RATIO_MAX 8.0
 
 static double
--- a/core/src/health/detector-ewma.c
+++ b/core/src/health/detector-ewma.c
@@ -1,12 +1,12 @@
 /*
- * Running means and runs of failures, the customary outlier detection. Evidence is
- * scaled so that each rule trips at the same bound.
+ * Exponentially weighted means and consecutive failures, the usual outlier detection. The
+ * evidence is scaled such that both rules share a bound.
  */
 #include "detector-kind.h"
 
 #define WEIGHT (1.0 / 16)
 #define SAMPLES_MIN 16u
-/* Failures in a row that count as much as a failure mean of one. */
+/* This many consecutive failures count as much as a mean failure rate of one. */
 #define RUN_FULL 10.0
 #define RATIO_MAX 20.0
 
--- a/core/src/health/detector-kind.h
+++ b/core/src/health/detector-kind.h
@@ -1,20 +1,21 @@
 /*
- * What each kind of detector brings, behind the shared life of a verdict.
+ * The interface of each kind of detector. detector.c keeps the verdict for all kinds.
  */
 #ifndef CORE_HEALTH_DETECTOR_KIND_H
 #define CORE_HEALTH_DETECTOR_KIND_H
 
 #include <core/detector.h>
 
-/* How strict a kind is at one setting. */
+/* The bounds of one kind at one setting. */
 typedef struct
 {
   double failure_bound; /* evidence from failures at which a target is sick */
   double latency_bound;
-  gint64 confirm_us; /* evidence from before and after this span must agree */
+  gint64 confirm_us; /* time after which the evidence has to reach its bound again; 0 for
+                        no confirmation */
 } DetectorBounds;
 
-/* The evidence a kind gathers; each reads only what it needs. */
+/* The evidence that a kind accumulates; each kind uses only some members. */
 typedef struct
 {
   double failures;
@@ -25,12 +26,12 @@
   double latency_mean;
 } DetectorEvidence;
 
-/* One sample, with the references that it is weighed against already chosen. */
+/* One sample with its reference values. */
 typedef struct
 {
   gboolean failed;
-  double latency_ratio;      /* to the reference mean; 0 when there is none */
-  double reference_failures; /* share, 0 to 1 */
+  double latency_ratio;      /* to the reference mean; 0 if there is none */
+  double reference_failures; /* the siblings' failure rate, 0 to 1 */
 } DetectorInput;
 
 typedef struct
--- a/core/src/health/detector.c
+++ b/core/src/health/detector.c
@@ -2,43 +2,48 @@
 
 #include <string.h>
 
-/* How many samples the summary rests on at most. */
+/* Maximum number of samples in the summary. */
 #define WINDOW 16u
-/* The target's own normal, for a service whose siblings say nothing. */
+/* The target's own usual latency, for a service without data from siblings. */
 #define BASELINE_WEIGHT (1.0 / 256)
 #define BASELINE_SAMPLES 32u
-/* A slow answer is capped in means at so many times the reference. */
+/* Slow answers count in the mean latency as at most this multiple of the baseline. */
 #define CAP_RATIO 20.0
-/* Slower than this beside the reference, a trial has not gone well. Of answers with the
-   users' spread (0.8) one in twenty-five is slower by chance. */
+/* A trial that is slower than this multiple of the reference is not good. With the spread
+   of answer times in the reference deployment (0.8), one answer in 25 is slower by
+   chance. */
 #define TRIAL_RATIO_MAX 3.0
-/* A target that refuses what it is sent by breaking the connection off does so within a
-   round trip; no work is that quick. */
+/* A target that breaks connections off to refuse requests does so within a round trip; no
+   real work is that quick. */
 #define ABRUPT_US (20 * MS_US)
-/* Sick again sooner than this after a return is flapping. */
+/* A target that becomes sick again within this time of its recovery is flapping. */
 #define FLAP_US (60 * SECOND_US)
-/* After a return on time alone, this share of the bound is held against the target. */
+/* A target that recovers only because time has passed starts with this share of the
+   failure bound as evidence. */
 #define PROBATION_SHARE 0.5
-/* What evidence from before a confirmation counts for, as a share of the bound. */
+/* Share of its bound at which earlier evidence is capped when a confirmation starts. */
 #define CONFIRM_SHARE 0.6
 #define PPM 1000000.0
 #define WHY_MAX 96u
 
-/* How a target falls sick at once, and how it comes back. */
+/* When a target becomes sick, and how it recovers. */
 typedef struct
 {
-  gboolean breaks_tell; /* one broken exchange is proof enough */
-  gint64 hold_us;       /* how long it stays out at first */
-  guint idle_holds;     /* after so many holds without work it is given another chance */
-  guint doublings_max;  /* how often that doubles with relapses, at most */
-  guint trials;         /* good ones in a row that bring it back */
-  guint first_trials;   /* likewise while no trial has failed */
+  gboolean breaks_tell; /* one broken exchange is sufficient evidence */
+  gint64 hold_us; /* initial ejection time; good trials end it after half of it at the
+                     earliest */
+  guint
+      idle_holds; /* after this many ejection times without work it gets another chance */
+  guint doublings_max; /* maximum doublings of `hold_us` on relapses */
+  guint trials;        /* consecutive good trials that it takes to recover */
+  guint first_trials;  /* likewise while no trial has failed */
 } DetectorLife;
 
 /*
- * Strict: a target that breaks an exchange off stays out until trials decide, and they
- * come at once. One good trial tells a single break from a bad spell, in which five of
- * six requests of the users' targets fail; in a spell it takes two in a row.
+ * Strict: a target that breaks off an exchange stays ejected until trials decide, and
+ * trials start at once. One good trial tells a single break from a bad spell, in which
+ * targets of the reference deployment fail five of six requests. Within a spell it takes
+ * two good trials in a row.
  */
 static const DetectorLife lives[DETECTION_COUNT] = {
   [DETECTION_OFF] = { FALSE, 5 * SECOND_US, 2, 6, 5, 5 },
@@ -56,18 +61,18 @@
   DetectorEvidence evidence;
   double baseline_us;
   guint baseline_samples;
-  /* The last samples, for the summary. */
+  /* The latest samples, for the summary. */
   gint64 took_us[WINDOW];
   gboolean failed[WINDOW];
   guint seen;
   /* The verdict. */
-  guint severity; /* 0 while healthy */
+  guint severity; /* 0 if healthy */
   gint64 sick_since_us;
   gint64 healthy_since_us;
   guint flaps;
   guint good_trials;
   guint failed_trials;
-  gboolean abrupt; /* it fell sick by breaking an exchange off at once */
+  gboolean abrupt; /* the target became sick by breaking off an exchange at once */
   gboolean confirming;
   gint64 confirm_from_us;
   char why[WHY_MAX];
@@ -108,7 +113,7 @@
   g_free (detector);
 }
 
-/* The mean that this sample's time is compared with; 0 for none. */
+/* Returns the mean that this sample's time is compared with; 0 if there is none. */
 static double
 reference_us (const Detector *detector, const DetectorSample *sample)
 {
@@ -124,7 +129,7 @@
 
   if (sample->failed || detector->severity > 0)
     return;
-  /* Samples that speak of a slow spell must not become the normal. */
+  /* Samples that indicate a slow spell must not become part of the baseline. */
   if (detector->evidence.latency > detector->bounds.latency_bound / 2)
     return;
   detector->baseline_us +=
@@ -162,7 +167,7 @@
   detector->confirming = FALSE;
 }
 
-/* How far the evidence is over its bounds, as a severity; 0 below. */
+/* Returns how far the evidence exceeds its bounds, as a severity; 0 if it does not. */
 static guint
 weigh (Detector *detector)
 {
@@ -188,9 +193,10 @@
 }
 
 /*
- * A burst of noise trips any bound that is worth having. Evidence that reached its bound
- * is therefore cut, nothing counts for a while, and what comes then must take it there
- * again; a burst is over by then. FALSE while that has not happened.
+ * Confirms evidence that has reached its bound. A burst of noise reaches any useful
+ * bound; so the evidence is cut, samples are ignored for `confirm_us`, by when a burst
+ * has passed, and the evidence then has to reach the bound again. Returns FALSE until
+ * that has happened.
  */
 static gboolean
 is_confirmed (Detector *detector)
@@ -208,7 +214,7 @@
   return FALSE;
 }
 
-/* Takes a healthy target's sample into the evidence. */
+/* Adds a healthy target's sample to the evidence. */
 static void
 gather (Detector *detector, const DetectorInput *input)
 {
@@ -219,7 +225,7 @@
     detector->confirming = FALSE;
 }
 
-/* A sick target's samples are trials: so many good ones in a row bring it back. */
+/* Samples of a sick target are trials; it recovers after enough good trials in a row. */
 static void
 judge_trial (Detector *detector, const DetectorInput *input)
 {
@@ -304,7 +310,7 @@
   for (guint i = 0; i < count; i++)
     {
       failures += detector->failed[i] ? 1 : 0;
-      /* Failing is often quick, and must not pass for speed. */
+      /* Failures are often quick and must not lower the mean latency. */
       if (detector->failed[i])
         continue;
       sum += cap > 0 ? MIN (detector->took_us[i], cap) : detector->took_us[i];
--- a/core/src/health/eject.c
+++ b/core/src/health/eject.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* The worst sick item that has not been looked at yet, or NULL. */
+/* Returns the worst sick item that has not been considered yet, or NULL. */
 static EjectItem *
 worst (EjectItem *items, guint count, const gboolean *seen)
 {
@@ -38,7 +38,7 @@
     {
       seen[item - items] = TRUE;
       if (stay < item->slots || stay - item->slots < MAX (floor_slots, 1))
-        continue; /* even without a floor one target stays: any answer beats none */
+        continue; /* even without a floor one target remains: any answer beats none */
       item->ejected = TRUE;
       stay -= item->slots;
     }
--- a/core/src/health/proof.c
+++ b/core/src/health/proof.c
@@ -1,9 +1,11 @@
 #include <core/proof.h>
 
-/* What has not been broken off within so long is kept: a break takes a round trip, and
-   one that is seen late on a slow VM is seen before the next request is taken. */
+/* A request that was not broken off within this time counts as kept. A break takes a
+   round trip, and a break that a slow VM notices late is still noticed before the next
+   request is accepted. */
 #define KEPT_US (10 * MS_US)
-/* Spells last seconds, so that one has hardly begun since. */
+/* Time for which proof is valid. Spells last seconds, so that it is unlikely that one has
+   begun since. */
 #define FRESH_US (150 * MS_US)
 
 static gboolean
--- a/core/src/health/shedding.c
+++ b/core/src/health/shedding.c
@@ -1,10 +1,11 @@
 #include <core/shedding.h>
 
-/* Others are asked first for so long after a refusal: some ten requests of the users'
-   targets (6 a second), few enough for the target to be found well soon. */
+/* Time for which other targets are preferred after a refusal: some ten requests at the 6
+   a second per target of the reference deployment, so that a recovered target is noticed
+   soon. */
 #define HOLD_US (2 * SECOND_US)
-/* One that goes on is held off for twice as long: each change is told to the whole fleet.
- */
+/* Time for a target that keeps refusing: longer, because each change is gossiped to the
+   whole fleet. */
 #define HOLD_LONG_US (4 * SECOND_US)
 
 struct Shedding
--- a/core/src/health/succession.c
+++ b/core/src/health/succession.c
@@ -2,31 +2,31 @@
 
 #include <string.h>
 
-/* Names of starts that are over are remembered so far: one ends every few seconds at
-   most, and a heartbeat is seconds late. */
+/* Number of past starts whose names are remembered: at most one ends every few seconds,
+   and heartbeats are late by seconds. */
 #define OVER_MAX 64u
-/* Twice the users' 1.5 s between heartbeats: one that is silent for so long has missed
-   one. */
+/* Twice the heartbeat interval of 1.5 s in the reference deployment: a start that is
+   silent for this long has missed a heartbeat. */
 #define SILENCE_US (3 * SECOND_US)
-/* So many heartbeats of one that was replaced bring it back. */
+/* Heartbeats after which a replaced start may become current again. */
 #define RETURN_BEATS 2u
 
-/* In a start's name, between the identifier and the time of the start in hexadecimal. */
+/* Separates the identifier from the start time in hexadecimal in the name of a start. */
 #define BORN_MARK ".b"
 
 typedef struct
 {
   char *name;
   gint64 sequence; /* of its last heartbeat */
-  gboolean ended;  /* it has said so */
-  guint beats;     /* since it was replaced, while the present one was silent */
+  gboolean ended;  /* it has announced its end */
+  guint beats;     /* heartbeats since it was replaced */
 } Start;
 
 struct Succession
 {
   Clock *clock;
   Start *present; /* NULL before the first heartbeat */
-  gint64 beat_us; /* when the present one was heard last */
+  gint64 beat_us; /* when the current start was last heard from */
   GQueue over;    /* of Start, oldest first */
 };
 
@@ -48,7 +48,7 @@
   g_free (start);
 }
 
-/* The place of the mark in a name, or NULL. */
+/* Returns the position of the mark in a name, or NULL. */
 static const char *
 born_mark (const char *name)
 {
@@ -61,7 +61,8 @@
 char *
 succession_name (const char *identifier, gint64 born)
 {
-  /* An identifier that looks like a name with a time gets one, so that it stays whole. */
+  /* An identifier that looks like a name with a start time gets a start time of 0, so
+     that succession_identifier returns it unchanged. */
   if (born == 0 && !born_mark (identifier))
     return g_strdup (identifier);
   return g_strdup_printf ("%s" BORN_MARK "%" G_GINT64_MODIFIER "x", identifier,
@@ -84,7 +85,7 @@
   return mark ? (gint64)g_ascii_strtoull (mark + strlen (BORN_MARK), NULL, 16) : 0;
 }
 
-/* Whether one start of an identifier began before another. */
+/* Returns whether `name` is an earlier start of the same identifier than `other`. */
 static gboolean
 is_earlier (const char *name, const char *other)
 {
@@ -149,7 +150,7 @@
   succession->beat_us = clock_now (succession->clock);
 }
 
-/* Whether a later start of its identifier is known. */
+/* Returns whether a later start of the same identifier is known. */
 static gboolean
 is_over (const Succession *succession, const char *name)
 {
@@ -161,7 +162,7 @@
   return FALSE;
 }
 
-/* Whether one that was replaced goes on while the one that replaced it does not. */
+/* Returns whether a replaced start continues while the current one is silent. */
 static gboolean
 returns (const Succession *succession, Start *start, gint64 sequence)
 {
