--- a/core/include/core/fingerprint.h
+++ b/core/include/core/fingerprint.h
@@ -1,33 +1,33 @@
 /*
- * Fingerprints: what is the same request when it comes again, under another id, at
- * another node. Two requests are the same when service, client account, method, host,
- * path and body are. Keyed with the fleet's secret, so that nobody outside can make two
- * requests alike.
+ * Fingerprints recognize a request that is sent again, under another id or at another
+ * node. Two requests are the same if service, client account, method, host, path and body
+ * are equal. The digest is keyed with the fleet's secret, so that an outsider cannot
+ * construct two requests with equal fingerprints.
  *
- * A request has a fingerprint with its query and one without: callers send a page's
- * number or the time along with what is the same to a target, and others ask for very
- * different things under one path.
+ * A request with a query has a fingerprint with the query and one without. Callers may
+ * add a page number or the time to a request that is otherwise the same to a target,
+ * whereas others request very different things under one path.
  *
- * A fingerprint has two halves. The head is cheap, whatever the size of the body, and
- * tells most requests apart; the body is digested only where the head is one that is
- * looked for.
+ * A fingerprint has two halves. The head is cheap to compute, whatever the size of the
+ * body, and tells most requests apart. The body is digested only if the head matches one
+ * that is looked for.
  */
 #ifndef CORE_FINGERPRINT_H
 #define CORE_FINGERPRINT_H
 
 #include <glib.h>
 
-/* Hexadecimal digits of a fingerprint in logs and status: enough to tell entries apart.
- */
+/* Hexadecimal digits of a fingerprint in logs and status; enough to identify entries. */
 #define FINGERPRINT_DIGITS 8
 
 typedef struct
 {
-  guint64 head; /* of all but the body, and of the body's length */
-  guint64 body; /* 0 for an empty one */
+  guint64 head; /* digest of all parts but the body, and of the body's length */
+  guint64 body; /* digest of the body; 0 for an empty one */
 } Fingerprint;
 
-/* What a fingerprint is made of; texts are borrowed, NULL reads as "". */
+/* The parts of a request that a fingerprint covers. The strings are borrowed; NULL means
+   "". */
 typedef struct
 {
   const char *service;
@@ -44,8 +44,8 @@
 FingerprintKey *fingerprint_key_create (const char *secret);
 void fingerprint_key_destroy (FingerprintKey *key);
 
-/* What a request may be known by: its path as it came, and, where that has a query, its
-   path alone. */
+/* The fingerprints of one request: that of its path as received and, if the path has a
+   query, that of the path without it. */
 #define FINGERPRINTS_MAX 2u
 typedef struct
 {
@@ -53,17 +53,17 @@
   guint count;
 } Fingerprints;
 
-/* All heads, with no bodies yet; and all of it. */
+/* The first computes only the heads and leaves the bodies 0; the second computes both. */
 Fingerprints fingerprint_heads (const FingerprintKey *key, const FingerprintWords *words);
 Fingerprints fingerprint_all (const FingerprintKey *key, const FingerprintWords *words);
-/* Adds the body to heads. */
+/* Adds the body's digest to fingerprints from fingerprint_heads. */
 void fingerprint_add_body (const FingerprintKey *key,
                            const FingerprintWords *words,
                            Fingerprints *prints);
 
 gboolean fingerprint_equal (const Fingerprint *a, const Fingerprint *b);
 
-/* The first digits; the caller frees the text. */
+/* Returns the first digits of a fingerprint's halves XORed; the caller frees it. */
 char *fingerprint_text (const Fingerprint *fingerprint);
 
 #endif
--- a/core/include/core/latency.h
+++ b/core/include/core/latency.h
@@ -1,17 +1,17 @@
 /*
- * How long the good answers of a route take: a running fit of a log-normal distribution,
- * small enough to travel with each request, and what it says of a request that has not
- * been answered yet.
+ * Latency of good answers per route: a running fit of a log-normal distribution, small
+ * enough to travel with each request, and what it implies for a request that has not been
+ * answered yet.
  */
 #ifndef CORE_LATENCY_H
 #define CORE_LATENCY_H
 
 #include <core/clock.h>
 
-/* A distribution as it is known; without samples nothing is. */
+/* A fitted distribution; without samples it is unknown. */
 typedef struct
 {
-  double log_mean; /* of the natural logarithm of microseconds */
+  double log_mean; /* mean of the natural logarithm of microseconds */
   double log_sd;
   guint samples;
 } LatencyFit;
@@ -22,41 +22,42 @@
 LatencyBook *latency_book_create (void);
 void latency_book_destroy (LatencyBook *book);
 
-/* Notes a good answer on a route, as latency_route names it. */
+/* Adds a good answer on a route, as latency_route identifies it. */
 void latency_book_add (LatencyBook *book, guint32 route, gint64 took_us);
 
-/* What answers on a route took lately; without samples for one never seen. */
+/* Returns the fit of recent answers on a route; without samples for an unknown route. */
 LatencyFit latency_book_fit (const LatencyBook *book, guint32 route);
 
-/* A short name for a route. */
+/* Returns a route's id, a hash of its name. */
 guint32 latency_route (const char *name);
 
-/* Whether a fit rests on enough samples to be judged by. */
+/* Returns whether a fit has enough samples to be relied on. */
 gboolean latency_fit_is_known (const LatencyFit *fit);
 
-/* The mean of the distribution; 0 when nothing is known. */
+/* Returns the mean of the distribution; 0 if it has no samples. */
 gint64 latency_fit_mean_us (const LatencyFit *fit);
 
 /*
- * The natural logarithm of the probability that a good answer takes longer than `age_us`;
- * 0, as for what is certain, while the fit is not known.
+ * Returns the natural logarithm of the probability that a good answer takes longer than
+ * `age_us`; 0 (a certain event) if the fit is not known.
  */
 double latency_fit_log_survival (const LatencyFit *fit, gint64 age_us);
 
-/* Whether a request is so late that another had better be sent beside it. */
+/* Returns whether a request is so late that it should be hedged with a second attempt. */
 gboolean latency_fit_is_late (const LatencyFit *fit, gint64 age_us);
-/* The age from which it is; for a fit that is known. */
+/* Returns the age from which latency_fit_is_late is TRUE; the fit must be known. */
 gint64 latency_fit_late_us (const LatencyFit *fit);
 
-/* Whether a request has taken so much longer than its route's answers do that this counts
-   as a failure of its target. */
+/* Returns whether a request has taken so much longer than usual on its route that it
+   counts as a failure of its target. */
 gboolean latency_fit_is_overdue (const LatencyFit *fit, gint64 age_us);
 
-/* A fit in one word, and back: a thousandth in mean and deviation, 15 samples at most. */
+/* Packs a fit into 32 bits and unpacks it: mean and deviation in thousandths, the number
+   of samples up to 15. */
 guint32 latency_fit_pack (const LatencyFit *fit);
 LatencyFit latency_fit_unpack (guint32 packed);
 
-/* What an ingress hears of a route from the targets that serve it. */
+/* The fits that an ingress receives from the targets of each route. */
 typedef struct LatencyViews LatencyViews;
 
 LatencyViews *latency_views_create (void);
@@ -66,7 +67,7 @@
                          const char *target,
                          const LatencyFit *fit);
 
-/* The medians over the targets, each of which may be a slow one. */
+/* Returns the medians over the targets, because any of them may be a slow one. */
 LatencyFit latency_views_fit (const LatencyViews *views, guint32 route);
 
 #endif
--- a/core/src/request/fingerprint.c
+++ b/core/src/request/fingerprint.c
@@ -6,7 +6,7 @@
 
 struct FingerprintKey
 {
-  GHmac *keyed; /* copied for each fingerprint */
+  GHmac *keyed; /* keyed HMAC state; copied for each digest */
 };
 
 FingerprintKey *
@@ -27,7 +27,7 @@
   g_free (key);
 }
 
-/* The first eight bytes of the digest, which it ends. */
+/* Finishes and frees `hmac`, and returns the first eight bytes of its digest. */
 static guint64
 finish (GHmac *hmac)
 {
@@ -41,7 +41,8 @@
   return GUINT64_FROM_BE (value);
 }
 
-/* Each text comes with its end, so that no two lists of texts read alike. */
+/* Adds a string including its terminating NUL, so that different lists of strings never
+   give the same input. */
 static void
 add_text (GHmac *hmac, const char *text)
 {
--- a/core/src/request/latency-routes.c
+++ b/core/src/request/latency-routes.c
@@ -1,6 +1,6 @@
 #include "latency-routes.h"
 
-/* Routes that are held at once; beyond, the table starts anew. */
+/* Maximum number of routes; when one more is added, the table is emptied first. */
 #define ROUTES_MAX 1024u
 
 GHashTable *
--- a/core/src/request/latency-routes.h
+++ b/core/src/request/latency-routes.h
@@ -1,16 +1,16 @@
 /*
- * A bounded table of what is held of each route, for the two sides that hold something:
- * the sidecar its own fits, the ingress what it hears of them.
+ * A bounded table of records per route, used by the sidecar for its own fits and by the
+ * ingress for those that it receives.
  */
 #ifndef CORE_REQUEST_LATENCY_ROUTES_H
 #define CORE_REQUEST_LATENCY_ROUTES_H
 
 #include <glib.h>
 
-/* An empty table: id → record. */
+/* Returns an empty table: id → record. */
 GHashTable *latency_routes_create (void);
 
-/* The record of a route, made anew with `size` zero bytes where there is none. */
+/* Returns the record of a route, creating one of `size` zero bytes if there is none. */
 gpointer latency_routes_get (GHashTable *routes, guint32 id, gsize size);
 
 #endif
--- a/core/src/request/latency-views.c
+++ b/core/src/request/latency-views.c
@@ -2,13 +2,13 @@
 
 #include "latency-routes.h"
 
-/* So many targets' words are held for a route, the oldest out first: enough for a median,
-   and news of a change after as many answers. */
+/* Number of targets whose fits are kept per route; a new target replaces the oldest. It
+   is enough for a median, and few enough that a change shows after as many answers. */
 #define TARGETS_MAX 9u
 
 typedef struct
 {
-  guint target; /* a hash of its name */
+  guint target; /* hash of its name */
   LatencyFit fit;
 } Word;
 
@@ -16,7 +16,7 @@
 {
   Word words[TARGETS_MAX];
   guint count;
-  guint next; /* place of the next target that is new */
+  guint next; /* index for the next new target */
 } RouteView;
 
 struct LatencyViews
--- a/core/src/request/latency.c
+++ b/core/src/request/latency.c
@@ -4,28 +4,30 @@
 
 #include "latency-routes.h"
 
-/* A fit follows its last samples: as many answers of one route as a target gives in some
-   ten seconds. */
+/* A fit follows about this many latest samples, the answers that a target gives on one
+   route in some ten seconds. */
 #define SAMPLES_MAX 64u
-/* The relative error of a mean of so many samples of the users' spread (0.8) is a third.
- */
+/* With the spread of answer times in the reference deployment (0.8), the relative error
+   of a mean of this many samples is a third. */
 #define SAMPLES_MIN 5u
-/* Few samples may lie close together by chance. */
+/* Lower limit of the deviation: a few samples may lie close together by chance. */
 #define LOG_SD_MIN 0.35
-/* One answer in a hundred takes several times as long as the others of its route do. */
+/* One answer in a hundred takes several times as long as the others on its route. */
 #define TAIL_SHARE 0.01
 #define TAIL_FACTOR 4.0
-/* A second attempt follows a first that is later than 98 in 100 answers of its route. Of
-   targets that are well it costs one attempt in fifty. */
+/* A second attempt is sent when the first is later than 98 in 100 answers on its route.
+   With healthy targets, this costs one extra attempt in fifty requests. */
 #define LATE_PROBABILITY 0.02
-/* No sooner than a node that is slow sees an answer. */
+/* Minimum age at which a request is late, because a slow node notices an answer only
+   after this long. */
 #define LATE_MIN_US (50 * MS_US)
-/* One answer in two hundred of a target that is well is later than this. */
+/* One answer in two hundred from a healthy target is later than this. */
 #define OVERDUE_PROBABILITY 0.005
-/* Whatever the route: a node that is slow takes some 20 ms to see an answer. */
+/* Minimum age at which a request is overdue on any route, because a slow node takes some
+   20 ms to notice an answer. */
 #define OVERDUE_MIN_US (100 * MS_US)
 
-/* Layout of a packed fit. */
+/* The layout of a packed fit. */
 #define THOUSANDTHS 1000.0
 #define PACKED_MEAN_MAX 0xffffu
 #define PACKED_SD_SHIFT 16u
@@ -35,7 +37,7 @@
 
 typedef struct
 {
-  LatencyFit fit; /* log_sd unused */
+  LatencyFit fit; /* log_sd is unused */
   double variance;
 } Route;
 
@@ -109,7 +111,7 @@
   return (gint64)exp (fit->log_mean + fit->log_sd * fit->log_sd / 2);
 }
 
-/* Of the log-normal distribution alone. */
+/* Returns the survival function of the log-normal distribution, without the tail. */
 static double
 survival (const LatencyFit *fit, double age_us)
 {
@@ -127,14 +129,14 @@
               TAIL_SHARE * survival (fit, age / TAIL_FACTOR) + G_MINDOUBLE);
 }
 
-/* The age at which the survival has fallen to exp (log_probability). */
+/* Returns the age at which the survival function has fallen to exp (log_probability). */
 static gint64
 age_us (const LatencyFit *fit, double log_probability)
 {
   double low = fit->log_mean;
   double high = fit->log_mean + 12 * fit->log_sd + log (TAIL_FACTOR);
 
-  /* Survival falls all the way: halving the span 30 times finds the place to a millionth.
+  /* The survival function is monotonic; 30 bisections find the position to a millionth.
    */
   for (guint i = 0; i < 30; i++)
     {
