--- a/core/include/core/fingerprint.h
+++ b/core/include/core/fingerprint.h
@@ -63,7 +63,7 @@
 
 gboolean fingerprint_equal (const Fingerprint *a, const Fingerprint *b);
 
-/* Returns the first digits of a fingerprint's halves XORed; the caller frees it. */
+/* Returns the first digits of the two halves XORed; the caller frees the string. */
 char *fingerprint_text (const Fingerprint *fingerprint);
 
 #endif
--- a/core/src/request/allowance-purse.c
+++ b/core/src/request/allowance-purse.c
@@ -168,10 +168,10 @@
 }
 
 /*
- * The reserve follows the rate of requests let through rather than of those that arrive:
+ * The number follows the rate of requests let through rather than of those that arrive:
  * most leases for a flood would expire unused. The first request after an idle time does
  * not predict a second one, hence the subtraction of 1. No more is leased in advance
- * until half of the reserve is used.
+ * until half of what was leased in advance is used.
  */
 guint
 allowance_purse_reserve (const AllowancePurse *purse, const char *account)
--- a/core/src/request/quarantine-news.c
+++ b/core/src/request/quarantine-news.c
@@ -19,8 +19,9 @@
                             .cleared_age_us = entry->epoch ? now - entry->cleared_us : -1,
                             .turn = entry->turn,
                             .trials = entry->trials,
-                            /* Before the first trial, `due_us` is not a time that may be
-                               sent. */
+                            /* While `turn` is 0 there is no time of a next trial. The
+                               age of a zero `due_us` would look implausible to other
+                               nodes when this machine has been up for weeks. */
                             .due_in_us = entry->turn ? entry->due_us - now : 0 };
   for (guint i = 0; i < entry->end_count; i++)
     {
