--- a/daemon/src/request/answer.c
+++ b/daemon/src/request/answer.c
@@ -4,7 +4,7 @@
 
 #include <core/http-status.h>
 
-/* When a node that cannot serve now is worth another try. */
+/* The Retry-After of a node that cannot serve requests at present. */
 #define RETRY_AFTER_US SECOND_US
 
 void
--- a/daemon/src/request/answer.h
+++ b/daemon/src/request/answer.h
@@ -1,28 +1,31 @@
 /*
- * The ingress's answers to callers, in the words of the node's dialect.
+ * The ingress's answers to callers, with the headers and statuses of the node's dialect.
  */
 #ifndef DAEMON_ANSWER_H
 #define DAEMON_ANSWER_H
 
 #include "dialect.h"
 
-/* Passes a target's whole answer on. */
+/* Forwards a target's answer to the caller, with the headers that the dialect lets pass.
+ */
 void answer_pass (const Dialect *dialect, HttpRequest *request, const sw_answer *answer);
 
-/* Tells that a request did not run, or may have; `id` is the caller's, NULL for none. */
+/* Answers that a request did not run, or that it may have run; `id` is the caller's
+   request identifier, or NULL. */
 void answer_give_up (const Dialect *dialect,
                      HttpRequest *request,
                      const char *id,
                      const Verdict *verdict);
 
-/* A request that cannot be routed or is not allowed: not run, with what to do. */
+/* Refuses a request that has not run, with `status` and the message `what`; on status 503
+   the caller may retry after a second. */
 void answer_error (const Dialect *dialect,
                    HttpRequest *request,
                    const char *id,
                    guint status,
                    const char *what);
 
-/* Likewise, and when to come again; 0 for nothing said. */
+/* Like answer_error, with an explicit Retry-After; 0 sends none. */
 void answer_refusal (const Dialect *dialect,
                      HttpRequest *request,
                      const char *id,
--- a/daemon/src/request/attempt-send.c
+++ b/daemon/src/request/attempt-send.c
@@ -3,21 +3,23 @@
 #include "path-probe.h"
 #include "request-log.h"
 
-/* A connection to a node that is there is made in a round trip; 400 ms cover a lost
-   packet's first repetition (200 ms) with room to spare. */
+/* A connection to a node that is up takes one round trip. 400 ms also cover the first
+   retransmission of a lost packet (200 ms). */
 #define OPEN_TIMEOUT_US (400 * MS_US)
-/* A connection and a greeting take a millisecond within a hall and 8 ms between halls.
-   Of nodes that have gone four in a row took 1.6 s, and 460 requests in six seconds were
-   late for that at 353 nodes of which 11 had gone. */
+/* How long a request without a ticket waits for a session. A connection and its handshake
+   take 1 ms within a hall and 8 ms between halls. With OPEN_TIMEOUT_US alone, trying four
+   dead nodes in a row took 1.6 s; in a fleet of 353 nodes of which 11 were dead, that
+   made 460 requests late in six seconds. */
 #define OPEN_PATIENCE_US (100 * MS_US)
-/* A slot is answered for in a round trip; one lost packet is repeated within 200 ms. */
+/* The reply to a slot request takes one round trip; a lost packet is retransmitted within
+   200 ms. */
 #define SLOT_TIMEOUT_US (300 * MS_US)
 
-/* A node that has answered within so long is there still, for all that matters: nodes and
-   paths fail once in hours, and a request is at its target within milliseconds. */
+/* A node heard within this time is taken to be up: nodes and paths fail once in hours,
+   and a request reaches its target within milliseconds. */
 #define PROVED_US (50 * MS_US)
-/* An answer takes under a millisecond within a hall and 4 ms between halls, some 20 ms
-   from a node that is slow: without one in three times that another node is asked. */
+/* An answer takes under 1 ms within a hall, 4 ms between halls, and about 20 ms from a
+   slow node. After three times that, another node is tried. */
 #define PROOF_TIMEOUT_US (60 * MS_US)
 
 static const RpcProcedure submit = { SW_SUBMIT, (xdrproc_t)xdr_sw_submit_args,
@@ -37,7 +39,7 @@
     attempt_ended (attempt, outcome, result);
 }
 
-/* The node does not even answer a ping: its answer is not to be expected. */
+/* Ends the attempt as lost, because the node does not even answer a ping. */
 static void
 on_node_lost (gpointer data)
 {
@@ -47,7 +49,8 @@
   attempt_ended (attempt, RPC_LOST, NULL);
 }
 
-/* The headers for the target: the caller's that go on, and what the dialect adds. */
+/* Returns the headers for the target: those that the dialect adds, then those of the
+   caller that are forwarded. */
 static GArray *
 forwarded_headers (const Exchange *exchange)
 {
@@ -69,7 +72,7 @@
   return forwarded;
 }
 
-/* `headers` lends its texts to the arguments. */
+/* Fills the header list of `args`; the strings stay owned by `headers`. */
 static void
 fill_headers (const GArray *headers, sw_submit_args *args)
 {
@@ -86,10 +89,6 @@
     }
 }
 
-/*
- * Gives the attempt its name and the stamp that it is sent with. A ticket has both
- * already, and is good for one incarnation of its sidecar only: FALSE when that has gone.
- */
 gboolean
 attempt_name (Attempt *attempt, const PeerStamp *stamp)
 {
@@ -112,7 +111,7 @@
                             latency_route (exchange->route->class));
 }
 
-/* What the sidecar needs to know of the attempt, but for the request itself. */
+/* Fills all arguments except the request itself: method, path, headers and body. */
 static void
 fill_terms (const Attempt *attempt, sw_submit_args *args)
 {
@@ -166,7 +165,9 @@
   g_free (args.headers.headers_val);
 }
 
-/* Nothing has been sent that could run, and the node gets nothing new for a while. */
+/* Ends the attempt as unsent, because its node has not answered in time: nothing that
+   could run has been sent. For a second, or until the node answers, the balancer avoids
+   it. */
 static void
 path_unproved (Attempt *attempt)
 {
@@ -175,7 +176,7 @@
   attempt_ended (attempt, RPC_UNSENT, NULL);
 }
 
-/* The sidecar holds a slot, or does not. */
+/* Submits the request if the sidecar holds a slot for it. */
 static void
 on_slot_answer (RpcOutcome outcome, void *result, gpointer data)
 {
@@ -216,7 +217,7 @@
     path_unproved (attempt);
 }
 
-/* Pings the node before a request travels that is to wait there. */
+/* Pings the node first, before a request that may queue there is sent. */
 static void
 prove_path (Attempt *attempt)
 {
@@ -228,7 +229,7 @@
               on_proof, attempt->pending);
 }
 
-/* Asks for a slot before the request travels. */
+/* Asks the sidecar to hold a slot before the request is sent. */
 static void
 ask_for_slot (Attempt *attempt)
 {
@@ -261,11 +262,13 @@
 } FirstStep;
 
 /*
- * What goes to the sidecar first. Three in four that another hall is asked to take are
- * refused there when it is loaded, and the question is a fifth of the request. Within the
- * hall a node that has not been heard of lately is asked first: what is lost on the way
- * to one that has just gone can neither be answered nor, where it may not be repeated,
- * tried again, while a question that is lost costs 60 ms.
+ * Returns the message that goes to the sidecar first.
+ *
+ * Another hall, when loaded, refuses three in four of the requests offered to it, and a
+ * slot request has a fifth of the size of a request. Within the hall, a node that has not
+ * been heard lately gets a slot request or a ping first: a request lost on the way to a
+ * node that has just failed cannot be answered nor, if unrepeatable, retried, while a
+ * lost slot request or ping costs 60 ms.
  */
 static FirstStep
 first_step (const Attempt *attempt)
@@ -317,7 +320,7 @@
     }
 }
 
-/* The session may still come to be; this request does not wait for it. */
+/* The session may still be opened later, but this attempt does not wait for it. */
 static void
 on_patience_over (gpointer data)
 {
--- a/daemon/src/request/attempt.c
+++ b/daemon/src/request/attempt.c
@@ -6,7 +6,7 @@
 
 #include "request-log.h"
 
-/* Nothing waits for the answer to a cancellation. */
+/* Bounds the cancellation call; its answer is not used. */
 #define CANCEL_TIMEOUT_US SECOND_US
 
 static const RpcProcedure cancel = { SW_CANCEL, (xdrproc_t)xdr_sw_cancel_args, wire_void,
@@ -21,7 +21,8 @@
   return attempt;
 }
 
-/* What still comes of the submission is not waited for any more. */
+/* Detaches the attempt from its pending call, whose result is then ignored, and stops
+   watching the node. */
 static void
 drop_pending (Attempt *attempt)
 {
@@ -56,12 +57,11 @@
   attempt_over (attempt);
   attempt->exchange = NULL;
   g_clear_pointer (&attempt->patience, loop_timer_destroy);
-  /* The session that is being opened still calls back. */
+  /* peers_open still calls back with the attempt; attempt_opened frees it then. */
   if (!attempt->opening)
     attempt_free (attempt);
 }
 
-/* A session has been opened for it, or not. FALSE when nobody waits any more. */
 gboolean
 attempt_opened (Attempt *attempt)
 {
@@ -84,7 +84,7 @@
 static void
 on_cancelled (RpcOutcome outcome, void *result, gpointer data)
 {
-  /* A cancellation that is lost only leaves work to run to its deadline. */
+  /* If a cancellation is lost, the request only runs on until its deadline. */
 }
 
 void
@@ -120,7 +120,7 @@
 {
   Exchange *exchange = attempt->exchange;
 
-  /* What is denied has been turned away before it was looked at. */
+  /* A denied call is rejected before its procedure runs. */
   if (outcome == RPC_UNSENT || outcome == RPC_DENIED)
     return DISPATCH_UNSENT;
   if (outcome != RPC_OK || !attempt_is_own (attempt, &res->attempt))
@@ -150,8 +150,8 @@
   Node *node = attempt->exchange->owner->node;
   const char *vm = attempt->target->vm;
 
-  /* Silence may be a slow target's, or a slow node's: whether the node itself answers has
-     to be asked. If it does not, its path is probed until it does. */
+  /* A timeout may be due to a slow target or a slow node, so the node itself is called.
+     If it does not answer, its path is probed until it does. */
   if (outcome == RPC_TIMEOUT || attempt->unanswered)
     peers_check (node->peers, vm);
   else
@@ -180,7 +180,11 @@
   return NULL;
 }
 
-/* A target that only refused may be chosen again, if in other circumstances. */
+/*
+ * Lets a target that refused without running the request be chosen again. After
+ * REASON_SICK or REASON_UNPROVED it may be chosen at once; after REASON_OVERLOAD or
+ * REASON_BUDGET, if the attempt was not allowed to queue, only at PLACEMENT_LAST_QUEUE.
+ */
 static void
 note_refusal (const Attempt *attempt, Reason reason)
 {
@@ -204,7 +208,7 @@
     g_ptr_array_add (exchange->tried, name);
 }
 
-/* The bytes that the refused attempt has cost. */
+/* Moves the bytes sent for a refused attempt to the count of refused traffic. */
 static void
 count_refused (Attempt *attempt)
 {
--- a/daemon/src/request/dialect-own.c
+++ b/daemon/src/request/dialect-own.c
@@ -12,10 +12,12 @@
 #define ATTEMPT_HEADER PREFIX "Attempt"
 #define DEADLINE_HEADER PREFIX "Deadline-Ms"
 #define ACCOUNT_HEADER PREFIX "Account"
-/* How long after the deadline the fence is still asked before "unknown" is said. */
+/* How long after the deadline the fence is still queried before the caller is answered
+   "unknown". */
 #define SLACK_US (500 * MS_US)
 
-/* Segments that other parties may resolve differently are not routed at all. */
+/* Whether the path is absolute and without segments that a target may resolve
+   differently; others are rejected. */
 static gboolean
 path_is_plain (const char *path)
 {
@@ -75,7 +77,8 @@
   http_headers_add (headers, DEADLINE_HEADER, left);
 }
 
-/* A target that echoes attempts must echo this one: else the answer is another's. */
+/* Whether the target echoed the identifier of another attempt, whose answer this then is.
+   Targets need not echo it. */
 static gboolean
 is_crossed (const sw_attempt *attempt, const HttpResult *result)
 {
@@ -88,7 +91,7 @@
   return strcmp (echo, own) != 0;
 }
 
-/* Callers here do not say what a request belongs to. */
+/* Requests of this dialect have no identifier. */
 static gboolean
 carries (const sw_submit_args *args, const char *id)
 {
@@ -110,7 +113,7 @@
   dialect_fill_answer (result, &res->answer);
 }
 
-/* The outcome is this fleet's word, never the target's. */
+/* Drops `Switchmill-*` headers of targets, because only the fleet reports outcomes. */
 static gboolean
 returns (const char *name)
 {
--- a/daemon/src/request/dialect.h
+++ b/daemon/src/request/dialect.h
@@ -1,7 +1,7 @@
 /*
- * The HTTP dialect of callers and targets: which headers and statuses carry what this
- * project means. A table of functions for each deployment; nothing outside it reads or
- * writes a header of these by name.
+ * The HTTP dialect of callers and targets: a table of functions for each deployment,
+ * which maps identifiers, deadlines and outcomes to headers and statuses. Only the
+ * dialect reads or writes its headers by name.
  */
 #ifndef DAEMON_DIALECT_H
 #define DAEMON_DIALECT_H
@@ -13,18 +13,19 @@
 
 #include "node.h"
 
-/* What a caller's request says, decoded once. All texts live as long as the request. */
+/* The decoded fields of a caller's request. Borrowed strings live as long as the request.
+ */
 typedef struct
 {
-  const char *id; /* the caller's own name of this try, NULL for none */
-  char *parent;   /* the id of the request that a target makes this call for; NULL for a
-                     caller's own, or where it cannot be told; owned */
-  char *host;     /* lower case, without a port; owned */
-  char *path;     /* what routes are matched against; owned */
-  gint64 wait_us; /* how long the caller waits; 0 when it does not say */
+  const char *id; /* the caller's identifier of this request, or NULL; borrowed */
+  char *parent; /* the identifier of the request for which a target makes this call; NULL
+                   if it is no such call, or not known to be one; owned */
+  char *host;   /* lower case, without a port; owned */
+  char *path;   /* the path to match against the routes; owned */
+  gint64 wait_us; /* how long the caller waits; 0 if it does not say */
 } CallerWords;
 
-/* What an answer to a caller is about. */
+/* The result of a request, as the caller is told it. */
 typedef struct
 {
   Outcome outcome;
@@ -34,44 +35,48 @@
 
 typedef struct
 {
-  /* Decodes; returns NULL, or what is wrong with the request in a caller's terms. */
+  /* Fills `words`; returns NULL, or an error message for the caller. */
   const char *(*decode) (const HttpRequest *request, CallerWords *words);
-  /* Whether a caller's header goes on to the target; `identified` when the request was
-     taken by its access key, which is the fleet's own matter. */
+  /* Whether a caller's header is forwarded to the target; with `identified`, the fleet
+     has checked the access key, which is then not forwarded. */
   gboolean (*forwards) (const char *name, gboolean identified);
-  /* Headers that the ingress adds for the target, into `headers`; `account` is whose
-     request it is, NULL for nobody's. */
+  /* Adds the ingress's headers for the target to `headers`; `account` is the id of the
+     request's account, or NULL. */
   void (*add_origin) (const Settings *settings, const char *account, GArray *headers);
-  /* Headers that the sidecar adds to one attempt, with `left_us` until its deadline. */
+  /* Adds the sidecar's headers for one attempt, with `left_us` until its deadline. */
   void (*add_attempt) (const sw_submit_args *args, gint64 left_us, GArray *headers);
-  /* Whether an attempt carries the request that has this id. */
+  /* Whether an attempt is one at the request with this identifier. */
   gboolean (*carries) (const sw_submit_args *args, const char *id);
-  /* Judges what the target answered: result, reason, and the answer (borrowed). */
+  /* Classifies the target's answer: sets result and reason, and for SW_DONE the answer,
+     whose strings and body are borrowed from `result`. */
   void (*judge) (const sw_submit_args *args,
                  const HttpResult *result,
                  sw_submit_res *res);
-  /* Whether a header of a target's answer goes on to the caller. */
+  /* Whether a header of a target's answer is forwarded to the caller. */
   gboolean (*returns) (const char *name);
-  /* The status of an answer of our own, and its headers. */
+  /* The HTTP status of an answer that the node makes itself. */
   guint (*status) (const Verdict *verdict);
+  /* Adds the headers that report the result. */
   void (*add_verdict) (const Verdict *verdict, const char *id, GArray *headers);
-  const char *account_header; /* that tells the target whose request it is */
-  gint64 slack_us;          /* past the deadline, until a caller is told at the latest */
-  gboolean tickets;         /* callers may ask for tickets (ticket.h) */
-  gboolean keys_everywhere; /* where there are accounts, a key is looked at on any route,
-                               and not only on those that want one */
+  const char *account_header; /* carries the account's id to the target */
+  gint64 slack_us;  /* how long after the deadline the caller is answered at most */
+  gboolean tickets; /* callers may ask for tickets (ticket.h) */
+  gboolean keys_everywhere; /* with accounts configured, keys are checked on every route,
+                               not only on those that require one */
 } Dialect;
 
-/* The headers `Switchmill-*`, see docs/OPERATIONS.md. */
+/* The dialect with the headers `Switchmill-*`, see docs/OPERATIONS.md. */
 extern const Dialect dialect_own;
 
-/* Judges what HTTP alone can tell, before a dialect looks at the answer. */
+/* Sets result, reason and `target_us` from the outcome of the HTTP call alone; a dialect
+   then examines a whole answer. */
 void dialect_judge_transport (const HttpResult *result, sw_submit_res *res);
 
-/* Takes the target's answer over into `res`, without headers of one hop. */
+/* Fills `answer` without hop-by-hop headers. The caller frees its header array; strings
+   and body stay owned by `result`. */
 void dialect_fill_answer (const HttpResult *result, sw_answer *answer);
 
-/* The host of a request in lower case, without its port. */
+/* Returns the host of a request in lower case, without its port; the caller frees it. */
 char *dialect_host (const HttpRequest *request);
 
 void caller_words_clear (CallerWords *words);
--- a/daemon/src/request/exchange-call.c
+++ b/daemon/src/request/exchange-call.c
@@ -36,7 +36,8 @@
   attempt_send (attempt, step->wait_us, step->remaining_us);
 }
 
-/* The question goes to the incarnation that the attempt was sent to, or is pointless. */
+/* Queries the fence of the incarnation that the attempt was sent to; a later one has no
+   record of the attempt. */
 static void
 on_session_to_ask (const PeerStamp *stamp, gpointer data)
 {
--- a/daemon/src/request/exchange-choice.c
+++ b/daemon/src/request/exchange-choice.c
@@ -4,15 +4,16 @@
 
 #include "config-sync.h"
 
-/* So many targets without a fresh proof are passed over (core/proof.h). */
+/* Refusals with REASON_UNPROVED after which a target need not have kept a request lately
+   (core/proof.h). */
 #define UNPROVED_MAX 5u
 
-/* A node is young until the targets' heartbeats have had time to come (1.5 s) and to get
-   round. */
+/* A node counts as newly started until the targets' heartbeats (one in 1.5 s each) have
+   arrived and gossip has spread them. */
 #define YOUNG_US (2 * SECOND_US)
 #define LOOK_AGAIN_US (25 * MS_US)
 
-/* Takes up what has become of the service by now. */
+/* Looks the service up in the newest configuration. */
 static void
 take_service (Attempt *attempt)
 {
@@ -20,12 +21,13 @@
   Snapshot *newest = config_sync_snapshot (exchange->owner->node->config);
   const Service *service = snapshot_service (newest, exchange->service);
 
-  /* A service that has been removed serves out what it was asked for before. */
+  /* A service removed since then still serves the requests that came before. */
   attempt->targets = snapshot_ref (service ? newest : exchange->snapshot);
   attempt->service = snapshot_service (attempt->targets, exchange->service);
 }
 
-/* A ticket's target; FALSE when the configuration no longer has it. */
+/* Takes the target from the ticket; returns FALSE if the configuration no longer has it
+   on the same VM. */
 static gboolean
 choose_ticket_target (Attempt *attempt)
 {
@@ -37,7 +39,8 @@
   return attempt->target && strcmp (attempt->target->vm, ticket->vm) == 0;
 }
 
-/* Targets that are out of the question: those tried, and those without a free slot. */
+/* Returns the names, borrowed, of targets that are not chosen: those already tried, and
+   except at PLACEMENT_LAST_QUEUE those without a free slot. */
 static GPtrArray *
 excluded (const Exchange *exchange)
 {
@@ -68,7 +71,7 @@
 {
   LatencyFit fit = exchange_fit (exchange);
   gint64 elapsed = clock_now (exchange->owner->node->clock) - exchange->began_us;
-  /* Without an objective what comes within the deadline is on time. */
+  /* Without an objective, the deadline takes its place. */
   gint64 left = exchange->route->objective_us > 0
                     ? exchange->route->objective_us - elapsed
                     : dispatch_remaining_us (exchange->dispatch);
@@ -76,8 +79,8 @@
   return left - latency_fit_mean_us (&fit);
 }
 
-/* The balancer's words for a step. Only the first question is worth a trial: sidecars
-   refuse most of those that are offered. */
+/* Asks the balancer for a target that fits the step. After a refusal that does not
+   concern load, no more trials are offered, because sidecars refuse most of them. */
 static BalancerChoice
 choose_at (const Attempt *attempt, PlacementStep step)
 {
@@ -103,7 +106,8 @@
     }
 }
 
-/* Whether what was found is what the step is for. */
+/* Whether the choice fits the step: at PLACEMENT_OWN_FREE the balancer may also return a
+   target of another hall. */
 static gboolean
 suits (const BalancerChoice *choice, PlacementStep step)
 {
@@ -139,9 +143,10 @@
 }
 
 /*
- * A node that has just started learns of targets by their heartbeats, one in 1.5 s each,
- * and of others' by gossip. What finds nobody then, or the few that are known full, looks
- * again while it can be on time: refused at once, 547 requests were lost in the half
+ * Whether to choose again later instead of giving up. A node that has just started learns
+ * of its own targets by their heartbeats, one in 1.5 s each, and of others by gossip. A
+ * request that finds no target then, or only full ones, waits while it can still be
+ * answered on time. When such requests were refused at once, 547 were lost in the half
  * second after all processes of 353 nodes had been killed.
  */
 static gboolean
@@ -163,7 +168,7 @@
   loop_timer_start (exchange->timer, LOOK_AGAIN_US);
 }
 
-/* Makes the chosen target the attempt's; FALSE for none. */
+/* Stores the choice in the attempt; returns FALSE if there is no target. */
 static gboolean
 take_choice (Attempt *attempt, const BalancerChoice *choice)
 {
@@ -184,8 +189,8 @@
   return TRUE;
 }
 
-/* All ingresses send the trial of a request to the same target, whose sidecar takes one.
- */
+/* Chooses the target for a trial of a quarantined request. All ingresses send the trial
+   to the same target, whose sidecar admits only one. */
 static gboolean
 choose_quarantine_trial (Attempt *attempt)
 {
@@ -248,7 +253,7 @@
   take_service (attempt);
   choice = choose_once (attempt, BALANCER_NO_TRIAL, BALANCER_OWN_FIRST,
                         BALANCER_SHEDDING_NEVER);
-  /* What hangs at one target had better not be sent to another that is known to. */
+  /* A hedge is meant to avoid a slow target, so it is not sent to a sick one. */
   if (choice.sick)
     return FALSE;
   return take_choice (attempt, &choice);
--- a/daemon/src/request/exchange-hedge.c
+++ b/daemon/src/request/exchange-hedge.c
@@ -2,15 +2,15 @@
 
 #include "log.h"
 
-/* Nobody had a free slot for it: another is asked so much later, and so many at the most.
- */
+/* Delay before the next hedge after one that failed, mostly for want of a free slot, and
+   the most hedges per exchange. */
 #define HEDGE_AGAIN_US (20 * MS_US)
 #define HEDGES_MAX 8u
-/* Where nobody knows yet how long a route's answers take, a second attempt is sent after
-   this share of the time: it leaves as much for it, and as much for the caller. */
+/* While the latency of a route is unknown, a hedge is sent after this fraction (1/3) of
+   the time to the deadline. That leaves a third for the hedge and a third to spare. */
 #define UNKNOWN_SHARE 3
 
-/* When an attempt that is sent now is late. */
+/* Returns the age at which an attempt that is sent now counts as late. */
 static gint64
 late_us (const Exchange *exchange)
 {
@@ -24,7 +24,7 @@
 void
 exchange_hedge_later (Exchange *exchange)
 {
-  /* What waits in a queue may be late for that alone. */
+  /* A request that may queue can be late because of the queue alone. */
   if (!exchange->attempt->may_queue && dispatch_may_hedge (exchange->dispatch))
     loop_timer_start (exchange->hedge_timer, late_us (exchange));
 }
@@ -64,7 +64,7 @@
   if (exchange->abandoned || exchange->hedge || exchange->hedges >= HEDGES_MAX ||
       !dispatch_may_hedge (exchange->dispatch))
     return;
-  /* A request that targets have ended under is not sent to two at once. */
+  /* A request under which targets have ended is not sent to two targets at once. */
   if (exchange_quarantine (exchange).state != QUARANTINE_FREE)
     return;
   attempt = attempt_create (exchange);
@@ -76,7 +76,7 @@
   send_hedge (exchange, attempt);
 }
 
-/* The hedge has answered: the first attempt is not waited for any more. */
+/* Continues with the hedge's answer, and cancels the first attempt. */
 static void
 win (Exchange *exchange)
 {
--- a/daemon/src/request/exchange-private.h
+++ b/daemon/src/request/exchange-private.h
@@ -1,8 +1,9 @@
 /*
- * What the files of an exchange share: exchange.c its life, exchange-choice.c the choice
- * of a target, exchange-quarantine.c whether it may be sent at all, exchange-call.c the
- * steps that need a sidecar, exchange-hedge.c a second attempt beside one that takes too
- * long; attempt.c one attempt and its end, attempt-send.c its way to the sidecar.
+ * Declarations shared by the files of an exchange: exchange.c creates, answers and ends
+ * it, exchange-choice.c chooses targets, exchange-quarantine.c checks the quarantine,
+ * exchange-call.c sends attempts and queries the fence, exchange-hedge.c sends a second
+ * attempt in parallel with a late one; attempt.c holds one attempt and handles its
+ * result, attempt-send.c sends it to the sidecar.
  */
 #ifndef DAEMON_EXCHANGE_PRIVATE_H
 #define DAEMON_EXCHANGE_PRIVATE_H
@@ -21,158 +22,169 @@
 typedef struct Exchange Exchange;
 typedef struct Attempt Attempt;
 
-/* One submission on its way: its answer may come when nobody waits for it any more. */
+/* One call in flight; its result may arrive after the attempt has been destroyed. */
 typedef struct
 {
-  Attempt *attempt; /* NULL once it has been given up */
+  Attempt *attempt; /* NULL once the result is no longer wanted */
 } Pending;
 
 struct Exchanges
 {
   Node *node;
   GHashTable *set; /* of Exchange */
-  guint64 counter; /* of attempts, those of tickets too */
+  guint64 counter; /* of the last attempt or ticket that was numbered */
   LatencyViews *latencies;
 };
 
 /* One attempt at one target. */
 struct Attempt
 {
-  Exchange *exchange; /* NULL once it has been given up while a session was opened */
-  Snapshot *targets;  /* holds the service alive */
+  Exchange *exchange; /* NULL if destroyed while a session is being opened */
+  Snapshot *targets;  /* owns the service and the target */
   const Service *service;
   const Target *target;
-  AttemptId id; /* its node is borrowed */
+  AttemptId id; /* the node name is borrowed */
   PeerStamp stamp;
   RetryKind retry;
   gint64 wait_us;
-  gint64 max_wait_us; /* in the sidecar's queue; 0 for up to the deadline */
+  gint64 max_wait_us; /* in the sidecar's queue; 0 for no bound but the deadline */
   gint64 remaining_us;
   gint64 hold_us;
   gsize sent_bytes;
-  gboolean trial;       /* the target is sick, and this is to show whether it still is */
+  gboolean trial;       /* of an ejected target, or of a quarantined request */
   gboolean local;       /* the target is in this hall */
-  gboolean may_queue;   /* free slots have been looked for in vain */
-  gboolean proved_only; /* the target is to refuse unless it has kept a request lately */
-  gboolean unanswered;  /* its node has not answered a question in time */
-  gboolean even_sick;   /* the target is known to be sick, and was chosen all the same */
-  gboolean opening;     /* a session is being opened for it */
-  gboolean out;         /* it is counted at the balancer */
-  gboolean submitted;   /* a sidecar may hold it */
-  Pending *pending;     /* the submission that is waited for; NULL for none */
-  PeerWatch *watch;     /* over the node that it went to */
-  LoopTimer *patience;  /* while a session is being opened; NULL otherwise */
+  gboolean may_queue;   /* the sidecar may queue it; else it needs a free slot */
+  gboolean proved_only; /* the target must have kept a request lately (core/proof.h) */
+  gboolean unanswered;  /* the node did not open a session, hold a slot or answer a ping
+                           in time */
+  gboolean even_sick;   /* the target was chosen although it is known to be sick */
+  gboolean opening;     /* a session is being opened */
+  gboolean out;         /* counted at the balancer as in flight */
+  gboolean submitted;   /* a sidecar may have the request */
+  Pending *pending;     /* the call in flight, or NULL */
+  PeerWatch *watch;     /* on the target's node while the request is there */
+  LoopTimer *patience;  /* bounds the opening of a session; NULL at other times */
 };
 
 struct Exchange
 {
   struct Exchanges *owner;
   HttpRequest *request;
-  char *id;           /* the caller's own, NULL for none */
-  Snapshot *snapshot; /* holds the route alive */
+  char *id;           /* the caller's request identifier, or NULL */
+  Snapshot *snapshot; /* owns the route and the account */
   const Route *route;
-  char *service; /* the name of the route's service, or of its share */
+  char *service; /* the name; of the service picked, where the route is split */
   char *tenant;
-  const Account *account; /* the snapshot's, which decides until the end; NULL for none */
-  gboolean identified;    /* its key goes no further */
+  const Account *account; /* of `snapshot`, also after a new configuration; or NULL */
+  gboolean identified;    /* the access key was checked and is not forwarded */
   guint priority;
-  Ticket *ticket; /* NULL for none */
+  Ticket *ticket; /* or NULL */
   Dispatch *dispatch;
   LoopTimer *timer;
   gint64 began_us;
-  GPtrArray *tried; /* names of targets */
-  GPtrArray *busy;  /* names of targets that had no free slot */
+  GPtrArray *tried; /* names of targets that are not chosen again */
+  GPtrArray *busy;  /* names of targets without a free slot; not in `tried` */
   Placement placement;
   RequestPrint print;
-  guint unproved;   /* refusals of targets that have kept nothing lately */
-  Attempt *attempt; /* the dispatch's last; NULL before the first */
-  Attempt *hedge;   /* beside it; NULL for none */
+  guint unproved;   /* refusals for REASON_UNPROVED */
+  Attempt *attempt; /* the last attempt but for the hedge; NULL before the first */
+  Attempt *hedge;   /* in flight in parallel with `attempt`, or NULL */
   LoopTimer *hedge_timer;
-  guint hedges;       /* that were asked for */
+  guint hedges;       /* attempts sent as hedges so far */
   gboolean abandoned; /* the caller has hung up */
-  gboolean asking;    /* a question is on its way that calls back with the exchange */
-  gboolean cut;       /* a stop has answered it; it ends when the question does */
-  sw_answer answer;   /* owned once the outcome is "done" */
+  gboolean asking;    /* a session or fence query that calls back with the exchange is
+                         pending */
+  gboolean cut;     /* answered by a forced stop; freed when the pending query returns */
+  sw_answer answer; /* the last whole answer of a target, or zeroed */
 };
 
-/* Does what the dispatch says next; the exchange may be over afterwards. */
+/* Performs a step of the dispatch. May free the exchange. */
 void exchange_carry_out (Exchange *exchange, const DispatchStep *step);
 
-/* Finds a target for the next attempt, and goes on. */
+/* Chooses a target for the next attempt and continues with it. May free the exchange. */
 void exchange_choose (Exchange *exchange);
 
-/* A target with a free slot for a second attempt; FALSE when there is none to ask. */
+/* Chooses a target for a hedge, from those that seem to have a free slot; returns FALSE
+   if there is none. */
 gboolean exchange_choose_hedge (Exchange *exchange, Attempt *attempt);
 
-/* What may become of the request now, by what is known of its like. */
+/* Returns the quarantine's verdict on the request. */
 QuarantineVerdict exchange_quarantine (Exchange *exchange);
 
-/* Answers instead of another attempt, where the request is held back; FALSE where not.
-   The exchange is over afterwards. */
+/* Answers instead of making another attempt, if the verdict forbids one. Returns FALSE if
+   it does not; if TRUE, the exchange has been freed. */
 gboolean exchange_hold_back (Exchange *exchange, const QuarantineVerdict *verdict);
 
-/* The target at which a request that is held back is tried, the same at every ingress
-   that sees the same targets; NULL for none. */
+/* Returns the target for a trial of a quarantined request, or NULL. Ingresses that see
+   the same healthy targets choose the same one. */
 const Target *exchange_trial_target (const Exchange *exchange, const Service *service);
 
-/* An attempt of this exchange, at no target yet. */
+/* Creates an attempt without a target. */
 Attempt *attempt_create (Exchange *exchange);
 
-/* Gives it up; what still comes of it is dropped. */
+/* Frees the attempt, and ignores the result of a call in flight. NULL is allowed. */
 void attempt_destroy (Attempt *attempt);
 
-/* Nobody waits for it any more: its sidecar is told. */
+/* Tells the sidecar to cancel the attempt if it may have it. An attempt with a ticket is
+   not cancelled, because other requests may carry the same ticket. */
 void attempt_cancel (Attempt *attempt);
 
-/* It is neither on its way nor waited for any more. */
+/* Ignores the result of a call in flight, and ends the attempt at the balancer. */
 void attempt_over (Attempt *attempt);
 
-/* A session has been opened for it, or not. FALSE when nobody waits any more. */
+/* Marks the opening of a session as finished. Returns FALSE, and frees the attempt, if it
+   was destroyed meanwhile. */
 gboolean attempt_opened (Attempt *attempt);
 
-/* Its name on the wire, lent; and whether an answer is to it. */
+/* Fills `words` with the attempt's identifier; the node name is borrowed. */
 void attempt_fill (const Attempt *attempt, sw_attempt *words);
+/* Whether `words` is the attempt's identifier. */
 gboolean attempt_is_own (const Attempt *attempt, const sw_attempt *words);
 
-/* What a call to its sidecar says of the way there, and what an answer says of the
- * target. */
+/* Records what the outcome of a call tells about the path to the target's node. */
 void attempt_note_path (const Attempt *attempt, RpcOutcome outcome);
+/* Records the latencies, the clock reading and the target state that an answer carries.
+ */
 void attempt_note_answer (const Attempt *attempt, const sw_submit_res *res);
 
-/* The sidecar has answered, or nothing is to be expected of it: the exchange goes on.
-   `res` is NULL without an answer. */
+/* Ends the attempt with the sidecar's answer, or without one (`res` NULL), and continues
+   the exchange, which may be freed. */
 void attempt_ended (Attempt *attempt, RpcOutcome outcome, sw_submit_res *res);
 
-/* Sends it to its target. */
+/* Sends the attempt to its target: waits `wait_us` for the answer; `remaining_us` is the
+   time to the deadline, from now. */
 void attempt_send (Attempt *attempt, gint64 wait_us, gint64 remaining_us);
 
-/* Names it; FALSE for a ticket of another start of its sidecar. */
+/* Gives the attempt an identifier and the sidecar's stamp. A ticket already has both;
+   returns FALSE if its sidecar has been restarted since. */
 gboolean attempt_name (Attempt *attempt, const PeerStamp *stamp);
 
-/* Sends the next attempt, or asks the fence about the last one. */
+/* Sends the attempt to the target that was chosen. */
 void exchange_send (Exchange *exchange, const DispatchStep *step);
+/* Queries the fence about the last attempt. */
 void exchange_ask (Exchange *exchange, const DispatchStep *step);
 
-/* How a sidecar's answer reads for the dispatch; one to another attempt is no answer. A
-   whole answer is taken over by the exchange. */
+/* Translates the result of a call for the dispatch; an answer to another attempt counts
+   as lost. The exchange takes ownership of a target's whole answer. */
 DispatchReport attempt_report (Attempt *attempt, RpcOutcome outcome, sw_submit_res *res);
 
-/* How long the request may wait and still be answered within its objective; under 0 when
-   it will be late. */
+/* Returns how long the request may wait and still be answered within its route's
+   objective, or without one by the deadline; negative if it will be late. */
 gint64 exchange_slack_us (const Exchange *exchange);
 
-/* What is known of how long answers on the exchange's route take. */
+/* Returns the latency distribution of the exchange's route, as far as it is known. */
 LatencyFit exchange_fit (const Exchange *exchange);
 
-/* The attempt has been sent: a second one follows if it takes too long. */
+/* Schedules a hedge in case the attempt that is sent now takes too long. */
 void exchange_hedge_later (Exchange *exchange);
-/* What the timer of the second attempt calls; `data` is the exchange. */
+/* Callback of `hedge_timer`: sends a hedge if one is allowed; `data` is the exchange. */
 void exchange_on_hedge_timer (gpointer data);
-/* No second one follows any more, and one that is on its way is given up. */
+/* Stops the hedge timer, and cancels a hedge that is in flight. */
 void exchange_drop_hedge (Exchange *exchange);
-/* The second attempt has ended. */
+/* Handles the end of the hedge. May free the exchange. */
 void exchange_hedge_ended (Exchange *exchange, DispatchReport report, Reason reason);
-/* The first has ended, and badly: the second, if there is one, takes its place. */
+/* Replaces an attempt that ended without success by the hedge that is in flight; returns
+   FALSE if there is none, or if the attempt succeeded. */
 gboolean
 exchange_promote_hedge (Exchange *exchange, DispatchReport report, Reason reason);
 
--- a/daemon/src/request/exchange-quarantine.c
+++ b/daemon/src/request/exchange-quarantine.c
@@ -4,7 +4,8 @@
 #include "credentials.h"
 #include "log.h"
 
-/* The words that the sidecar of any target would read in it. */
+/* Returns the fields of the request from which fingerprints are made, borrowed. They
+   match the ones that the sidecar of any target reads in the attempt. */
 static FingerprintWords
 words_of (const Exchange *exchange)
 {
@@ -57,8 +58,8 @@
 exchange_hold_back (Exchange *exchange, const QuarantineVerdict *verdict)
 {
   gboolean held = verdict->state == QUARANTINE_HELD;
-  /* Two targets have ended under its like, and this one has been sent: whether it ended
-     one of them is known in a moment, and its caller may come again. */
+  /* Two or more targets have ended under such requests, and a target may have seen this
+     one. Whether it ended one of them will be known shortly, and the caller may retry. */
   gboolean doubted =
       verdict->state == QUARANTINE_DOUBTED && dispatch_arrivals (exchange->dispatch) > 0;
   DispatchStep step;
@@ -72,7 +73,7 @@
   return TRUE;
 }
 
-/* Whether a target may be spent on it: one that is sick would show nothing. */
+/* Whether a target is fit for a trial; the result of a sick one would prove nothing. */
 static gboolean
 is_sound (const Exchange *exchange, const Service *service, const Target *target)
 {
@@ -86,7 +87,8 @@
 const Target *
 exchange_trial_target (const Exchange *exchange, const Service *service)
 {
-  /* The path alone, where there is a query: all that is held back by it goes to one. */
+  /* The last print leaves the query out, so that all requests held back by their path
+     alone go to the same target. */
   const Fingerprints *prints = &exchange->print.prints;
   guint64 head = prints->of[prints->count - 1].head;
   const Target *best = NULL;
--- a/daemon/src/request/exchange.c
+++ b/daemon/src/request/exchange.c
@@ -32,7 +32,6 @@
   g_free (exchange);
 }
 
-/* Nobody waits for what is on its way. */
 static void
 cancel_attempts (Exchange *exchange)
 {
@@ -41,7 +40,7 @@
     attempt_cancel (exchange->attempt);
 }
 
-/* Answers the caller, for the last time. */
+/* Counts, logs and sends the final answer to the caller. */
 static void
 answer (Exchange *exchange, const DispatchStep *step)
 {
@@ -71,7 +70,8 @@
   exchange_free (exchange);
 }
 
-/* The caller has hung up. What may not be repeated is let run, for it may have begun. */
+/* Cancels the attempts when the caller hangs up. The sidecar lets an unrepeatable request
+   that has begun run on. */
 static void
 on_caller_gone (gpointer data)
 {
@@ -91,7 +91,7 @@
   exchange_carry_out (exchange, &step);
 }
 
-/* Nothing more is begun for a caller who has gone. */
+/* Ends the exchange without an answer, because the caller has hung up. */
 static void
 abandon (Exchange *exchange)
 {
@@ -269,8 +269,9 @@
 }
 
 /*
- * Nothing more is begun for a request that has been answered, which may have been told
- * that nothing ran. What is asked about it calls back, and ends it then.
+ * Answers the caller and starts nothing more, because the answer may say that nothing
+ * ran. A pending session or fence query still calls back with the exchange; the callback
+ * frees it.
  */
 static void
 cut (Exchange *exchange)
@@ -298,7 +299,7 @@
     {
       Exchange *exchange = item->data;
 
-      /* A cancellation may find a path closed, which ends others. */
+      /* A cancellation may find the path to a node closed, which ends other exchanges. */
       if (!g_hash_table_contains (exchanges->set, exchange) || exchange->cut)
         continue;
       count++;
--- a/daemon/src/request/exchange.h
+++ b/daemon/src/request/exchange.h
@@ -1,6 +1,6 @@
 /*
- * Exchanges: callers' requests on their way. Each carries out the steps of its dispatch
- * (core/dispatch.h) over the peers' RPC, and ends with one answer to its caller.
+ * Exchanges: callers' requests in flight. Each one performs the steps of its dispatch
+ * (core/dispatch.h) by RPC to other nodes, and ends with one answer to its caller.
  */
 #ifndef DAEMON_EXCHANGE_H
 #define DAEMON_EXCHANGE_H
@@ -12,33 +12,33 @@
 
 typedef struct Exchanges Exchanges;
 
-/* What one exchange is to do. */
+/* The parameters of a new exchange. */
 typedef struct
 {
   HttpRequest *request;
-  const char *id;     /* the caller's own, NULL for none; copied */
-  Snapshot *snapshot; /* holds route and service alive */
+  const char *id;     /* the caller's request identifier, or NULL; copied */
+  Snapshot *snapshot; /* owns route, service and account */
   const Route *route;
   const Service *service;
-  gint64 span_us;         /* until its deadline */
-  const Account *account; /* whose request it is, of the snapshot; NULL for nobody's */
-  gboolean identified;    /* its key has been looked at, and goes no further */
-  guint priority;         /* 0 first: the account's, then the route's */
-  gboolean call;          /* a target makes it for a request that it runs */
-  gboolean repeat;        /* and that request is not at its first attempt */
-  Ticket *ticket;         /* taken over; NULL for none */
+  gint64 span_us;         /* from the request's arrival to its deadline */
+  const Account *account; /* the client account in the snapshot; NULL for none */
+  gboolean identified;    /* the access key was checked and is not forwarded */
+  guint priority;         /* 0 is highest; ranks the account first, then the route */
+  gboolean call;          /* a target makes this call for a request that it runs */
+  gboolean repeat;        /* that request is not at its first attempt */
+  Ticket *ticket;         /* ownership passes to the exchange; NULL for none */
 } ExchangeOrder;
 
 Exchanges *exchanges_create (Node *node);
 void exchanges_destroy (Exchanges *exchanges);
 
-/* Begins one; it ends by itself. */
+/* Starts an exchange, which answers the request and then frees itself. */
 void exchanges_begin (Exchanges *exchanges, const ExchangeOrder *order);
 
-/* Gives a ticket for the order's service out instead of running the request. */
+/* Answers with a ticket for the order's service instead of running the request. */
 void exchanges_give_ticket (Exchanges *exchanges, const ExchangeOrder *order);
 
-/* Answers all at once, for a stop that cannot wait; returns how many there were. */
+/* Answers all exchanges immediately, for a forced stop; returns their number. */
 guint exchanges_cut (Exchanges *exchanges);
 
 #endif
--- a/daemon/src/request/ingress.c
+++ b/daemon/src/request/ingress.c
@@ -23,11 +23,11 @@
   Exchanges *exchanges;
   StartQueue *start_queue;
   Splitter *splitter;
-  guint64 split_generation; /* of the routes that the splitter's turns belong to */
+  guint64 split_generation; /* of the configuration at the splitter's last pruning */
   gboolean draining;
 };
 
-/* The route's deadline, which a caller may shorten. */
+/* Returns the route's deadline, or the caller's if that is shorter. */
 static gint64
 deadline_span (const CallerWords *words, const Route *route)
 {
@@ -42,7 +42,7 @@
   return ingress->node->adapter->dialect;
 }
 
-/* Runs the request, or gives the ticket out that it asks for. */
+/* Runs the request, or issues the ticket that it asks for. */
 static void
 begin (Ingress *ingress, ExchangeOrder *order)
 {
@@ -71,7 +71,8 @@
                 "this is no ticket for this service");
 }
 
-/* The service that a request on a route goes to; its turn, where the route is shared. */
+/* Returns the service for a request on a route; where the route is split, the one whose
+   turn it is. */
 static const Service *
 service_of (Ingress *ingress, const Snapshot *snapshot, const Route *route)
 {
@@ -83,7 +84,7 @@
   return snapshot_service (snapshot, splitter_pick (ingress->splitter, route));
 }
 
-/* Finds route and service; answers and returns FALSE when the request has none. */
+/* Finds route and service; if there are none, answers and returns FALSE. */
 static gboolean
 find_route (Ingress *ingress, const CallerWords *words, ExchangeOrder *order)
 {
@@ -99,7 +100,7 @@
   return FALSE;
 }
 
-/* Finds the account; answers and returns FALSE when the caller may not use the route. */
+/* Finds the account; if the caller may not use the route, answers and returns FALSE. */
 static gboolean
 find_account (Ingress *ingress, const CallerWords *words, ExchangeOrder *order)
 {
@@ -117,7 +118,8 @@
   return FALSE;
 }
 
-/* What a target's call takes over from the request that it is made for. */
+/* Marks the order as a target's call, and returns the account priority of the request for
+   which the target makes it. */
 static guint
 take_call_terms (Ingress *ingress, const CallerWords *words, ExchangeOrder *order)
 {
@@ -131,7 +133,7 @@
 static void
 route_request (Ingress *ingress, HttpRequest *request, const CallerWords *words)
 {
-  /* Nobody's requests come after those of any account. */
+  /* Requests without an account rank with the lowest account priority. */
   guint priority = CONFIG_ACCOUNT_PRIORITIES - 1;
   ExchangeOrder order = { .request = request,
                           .snapshot = config_sync_snapshot (ingress->node->config),
@@ -148,8 +150,8 @@
   allowances_offer (ingress->node->allowances, &order);
 }
 
-/* The request of an account that has asked for more than it may, or about which nobody
-   can be asked: it has not run. */
+/* Answers "not run", because the account has exceeded its allowance, or because no lender
+   of it can be asked. */
 static void
 refuse (Ingress *ingress, const ExchangeOrder *order, const AllowanceVerdict *verdict)
 {
@@ -174,7 +176,7 @@
     refuse (ingress, order, verdict);
 }
 
-/* Why this node takes no requests now, or NULL. */
+/* Returns why this node accepts no requests at present, or NULL. */
 static const char *
 unavailable (const Ingress *ingress)
 {
@@ -209,7 +211,7 @@
   caller_words_clear (&words);
 }
 
-/* A caller has taken nothing of its answer for too long. */
+/* Counts a connection that was closed because the caller stopped reading its answer. */
 static void
 on_let_go (gsize left, gpointer data)
 {
@@ -217,7 +219,7 @@
   g_autofree char *bytes = g_strdup_printf ("%" G_GSIZE_FORMAT, left);
 
   metrics_add (node->metrics, METRIC_CALLERS_LET_GO, 1);
-  events_add (node->events, "caller-let-go", bytes, "bytes of its answer not taken");
+  events_add (node->events, "caller-let-go", bytes, "bytes of the answer left unread");
 }
 
 static void
--- a/daemon/src/request/ingress.h
+++ b/daemon/src/request/ingress.h
@@ -1,28 +1,29 @@
 /*
- * The ingress: takes callers' requests and carries each through its dispatch.
+ * The ingress: accepts callers' requests, and runs each as an exchange (exchange.h).
  */
 #ifndef DAEMON_INGRESS_H
 #define DAEMON_INGRESS_H
 
 #include "node.h"
 
-/* NULL, with `error` set, when the callers' address cannot be bound. */
+/* Returns NULL and sets `error` if the callers' address cannot be bound. */
 Ingress *ingress_create (Node *node, GError **error);
 void ingress_destroy (Ingress *ingress);
 
-/* Serves on, but each answer closes its connection, so that callers go elsewhere. */
+/* Continues to serve, but closes each connection with its next answer, so that callers
+   connect to other nodes. */
 void ingress_close_connections (Ingress *ingress);
 
-/* Answers new requests with "not run" from now on, and lets those in flight end. */
+/* Answers new requests with "not run" from now on; those in flight continue. */
 void ingress_drain (Ingress *ingress);
 
 /*
- * Answers all requests in flight at once, for a stop that cannot wait: "not run" where
- * nothing was ever sent, else "unknown". Returns how many there were.
+ * Answers all requests in flight immediately, for a forced stop: "not run" if no attempt
+ * was sent, else "unknown". Returns their number.
  */
 guint ingress_cut (Ingress *ingress);
 
-/* Requests in flight. */
+/* Returns the number of requests in flight. */
 guint ingress_active (const Ingress *ingress);
 
 #endif
--- a/daemon/src/request/request-log.c
+++ b/daemon/src/request/request-log.c
@@ -5,7 +5,8 @@
 #include "attempt-name.h"
 #include "log.h"
 
-/* NULL before the first attempt has its name, which it gets from the node it goes to. */
+/* Returns NULL while the attempt has no identifier, which it gets once a session with its
+   node is open. */
 static char *
 own_attempt_name (const Attempt *attempt)
 {
@@ -59,7 +60,7 @@
   g_autofree char *in_use = NULL;
   g_autofree char *queued = NULL;
 
-  /* A good answer is told by the request's own line. */
+  /* request_log_end reports the target's answer. */
   if (answered && res->result == SW_DONE)
     return;
   name = own_attempt_name (attempt);
@@ -88,7 +89,7 @@
   gboolean done = step->outcome == OUTCOME_DONE;
   g_autofree char *attempt = own_attempt_name (exchange->attempt);
   g_autofree char *took = g_strdup_printf ("%" G_GINT64_FORMAT, took_us);
-  /* The attempt that a good answer came from has not been counted as an arrival. */
+  /* The dispatch does not count the attempt with a good answer as an arrival. */
   guint answered = done && exchange->answer.status < HTTP_SERVER_ERROR;
   g_autofree char *refusals =
       g_strdup_printf ("%u", dispatch_refusals (exchange->dispatch) - answered);
--- a/daemon/src/request/request-log.h
+++ b/daemon/src/request/request-log.h
@@ -1,22 +1,23 @@
 /*
- * The log lines of one request's way: each attempt with what decided it, how it ended at
- * the sidecar and at the ingress, and the answer. `switchmill explain` puts them
- * together.
+ * The log lines of one request: each attempt with the facts behind the choice of its
+ * target, the end of each, and the answer. `switchmill explain` combines them with the
+ * sidecars' lines.
  */
 #ifndef DAEMON_REQUEST_LOG_H
 #define DAEMON_REQUEST_LOG_H
 
 #include "exchange-private.h"
 
-/* An attempt goes out. */
+/* Logs that an attempt starts. */
 void request_log_attempt (const Attempt *attempt);
-/* It has ended, or nobody waits for it any more. `res` is NULL without an answer. */
+/* Logs the end of an attempt, unless the target's whole answer came: request_log_end
+   reports the answer. `res` is NULL without an answer of the sidecar. */
 void request_log_attempt_end (const Attempt *attempt,
                               RpcOutcome outcome,
                               const sw_submit_res *res);
-/* The caller has left. */
+/* Logs that the caller has hung up. */
 void request_log_gone (const Exchange *exchange);
-/* The caller gets the last word. */
+/* Logs the final answer. */
 void request_log_end (const Exchange *exchange, const DispatchStep *step, gint64 took_us);
 
 #endif
--- a/daemon/src/request/start-queue.c
+++ b/daemon/src/request/start-queue.c
@@ -2,10 +2,10 @@
 
 #include "config-sync.h"
 
-/* The configuration comes within 0.4 s of a start of 353 nodes at once; a store that does
-   not answer is asked again each half second. */
+/* When 353 nodes start at once, each has its configuration within 0.4 s; a store that
+   does not answer is queried again every half second. */
 #define OPEN_US SECOND_US
-/* How often it is looked whether the wait is over. */
+/* The interval of checks whether the configuration is there or OPEN_US is over. */
 #define LOOK_US (10 * MS_US)
 
 typedef struct
--- a/daemon/src/request/start-queue.h
+++ b/daemon/src/request/start-queue.h
@@ -1,12 +1,13 @@
 /*
- * Requests that come before this node has its configuration.
+ * A queue for requests that arrive before the node has its configuration.
  *
- * Load pattern: all processes are killed or lose power at once, and callers go on. A node
- * listens some 0.2 s before it has read the configuration; refused then, half of what
- * came in the second after such a blow was lost (1,774 of 4,865 requests at 353 nodes).
+ * Load pattern: all processes are killed or lose power at once while callers continue. A
+ * node listens about 0.2 s before it has read the configuration. When requests were
+ * refused in that time, half of those in the second after such an outage were lost (1,774
+ * of 4,865 requests at 353 nodes).
  *
- * Rule: in the first second of its life a node lets requests wait for its configuration;
- * after that, with the store away, it refuses at once.
+ * Rule: in the first second after its start a node queues requests until it has its
+ * configuration; after that, while the store is unavailable, it refuses them at once.
  */
 #ifndef DAEMON_START_QUEUE_H
 #define DAEMON_START_QUEUE_H
@@ -17,14 +18,15 @@
 
 typedef struct StartQueue StartQueue;
 
-/* `handler` takes each request again when the node is ready, or when time is up. */
+/* `handler` gets each queued request when the node has its configuration, or when the
+   first second is over. */
 StartQueue *start_queue_create (Node *node, HttpHandler handler, gpointer data);
 void start_queue_destroy (StartQueue *queue);
 
-/* Whether a request that comes now had better wait. */
+/* Whether a request that arrives now should be queued. */
 gboolean start_queue_is_open (const StartQueue *queue);
 
-/* Takes the request over. */
+/* Queues the request, and holds a reference to it until the handler has run. */
 void start_queue_add (StartQueue *queue, HttpRequest *request);
 
 #endif
--- a/daemon/src/request/ticket.c
+++ b/daemon/src/request/ticket.c
@@ -7,7 +7,8 @@
 #define FIELDS 9u
 #define HEX 16
 
-/* Names hold no '~' (core/names.h), so that it can part them. */
+/* Returns all fields but the MAC, joined by '~', which names cannot contain
+   (core/names.h). */
 static char *
 words_of (const Ticket *ticket)
 {
--- a/daemon/src/request/ticket.h
+++ b/daemon/src/request/ticket.h
@@ -1,10 +1,10 @@
 /*
- * Tickets: an attempt's identity given out before the request. All requests that carry
- * one ticket, through whichever ingress, are the same attempt at the same sidecar
- * incarnation, so that asking twice runs at most once and hears the same answer.
+ * Tickets: an attempt's identifier issued before the request. All requests with the same
+ * ticket, through any ingress, are the same attempt at the same sidecar incarnation. A
+ * repeated request therefore runs at most once and gets the same answer.
  *
- * A ticket is good for the fence's window. After that, or when its sidecar has
- * restarted, nobody can tell any more, and the answer is "unknown".
+ * A ticket is valid for the fence's window. After that, or when its sidecar has
+ * restarted, it is no longer known whether the request ran, and the answer is "unknown".
  */
 #ifndef DAEMON_TICKET_H
 #define DAEMON_TICKET_H
@@ -13,7 +13,8 @@
 
 #include "peers.h"
 
-/* "new" asks for a ticket, which comes back in the same header. */
+/* A request with the value "new" asks for a ticket; the answer carries it in the same
+   header. */
 #define TICKET_HEADER "Switchmill-Ticket"
 #define TICKET_NEW "new"
 
@@ -26,10 +27,12 @@
   PeerStamp stamp;
 } Ticket;
 
-/* The ticket as a header's value, sealed with the fleet's token. */
+/* Returns the ticket as a header's value, with an HMAC-SHA256 keyed with the fleet's
+   token; the caller frees it. */
 char *ticket_text (const Ticket *ticket, const char *fleet_token);
 
-/* NULL for a text that this fleet did not seal. */
+/* Returns NULL if the text is malformed or its MAC does not match; the caller frees the
+   ticket. */
 Ticket *ticket_parse (const char *text, const char *fleet_token);
 void ticket_free (Ticket *ticket);
 
