--- a/daemon/src/target/sidecar-budget.c
+++ b/daemon/src/target/sidecar-budget.c
@@ -2,13 +2,13 @@
 
 #include "config-sync.h"
 
-/* Hundredths of a retry, in which budgets are counted. */
+/* Budgets are counted in hundredths of a retry. */
 #define RETRY_HUNDREDTHS 100u
 
 typedef struct
 {
   RetryBudget *retries;
-  guint most_targets; /* that the service has been seen with */
+  guint most_targets; /* that the service has had in any configuration seen */
 } Budget;
 
 struct SidecarBudgets
@@ -48,8 +48,9 @@
   g_free (budgets);
 }
 
-/* Before a restart retries may have been spent that nobody here knows of; before the
-   first start of the whole fleet there were none. */
+/* Returns whether a burst of retries is allowed. Retries spent before a restart are not
+   known here, so there is no burst in the first retry window, except on the first start
+   of the whole fleet. */
 static gboolean
 may_burst (const SidecarBudgets *budgets)
 {
@@ -59,8 +60,9 @@
          clock_now (node->clock) - budgets->began_us >= node->defaults.retry_window_us;
 }
 
-/* This sidecar's share of the burst: by the most targets that the service was seen with,
-   for each part of a fleet that falls apart sees fewer. */
+/* Returns this sidecar's share of the burst in hundredths of a retry. It is divided by
+   the largest number of targets seen, because each part of a partitioned fleet sees
+   fewer. */
 static guint
 burst_share (const SidecarBudgets *budgets, Budget *budget, const Service *service)
 {
--- a/daemon/src/target/sidecar-calls.c
+++ b/daemon/src/target/sidecar-calls.c
@@ -12,7 +12,9 @@
   id->counter = attempt->counter;
 }
 
-/* An attempt that the table knows already: a copy, or a ticket used again. */
+/* Answers a call about an attempt that the fence already knows, such as a duplicate or a
+   reused ticket. Waits until `until_us` for the end of one that has not ended, -1 for no
+   time-out. */
 static void
 answer_known (Sidecar *sidecar,
               RpcConn *conn,
@@ -47,7 +49,8 @@
   xdr_free ((xdrproc_t)xdr_sw_submit_res, (char *)&res);
 }
 
-/* Takes an unrepeatable attempt into the fence. FALSE when it has been answered. */
+/* Registers an unrepeatable attempt in the fence. Returns FALSE if the call has been
+   answered instead. */
 static gboolean
 pass_fence (Sidecar *sidecar,
             RpcConn *conn,
@@ -83,9 +86,9 @@
 }
 
 /*
- * Whether a sick target had better not get this. Many ingresses offer trials at once, or
- * do not know yet that it is sick; only the sidecar can see to it that trials, of work
- * that may be repeated, come one at a time.
+ * Returns whether a sick target must refuse this attempt. Many ingresses may offer trials
+ * at once, or may not know yet that the target is sick. Only the sidecar can limit them
+ * to one trial at a time, made with repeatable requests.
  */
 static gboolean
 is_too_sick_for (SidecarTarget *target, const sw_submit_args *args, gint64 now)
@@ -101,7 +104,8 @@
   return FALSE;
 }
 
-/* Trials, which come one at a time, are not kept waiting for work that hangs. */
+/* Returns whether the attempt takes a slot although none is free. Trials come one at a
+   time and must not wait behind hung requests. */
 static gboolean
 is_forced (SidecarTarget *target, const sw_submit_args *args)
 {
@@ -109,8 +113,8 @@
          !admission_is_free (target->admission) && warmup_allows (target->warmup);
 }
 
-/* Why the attempt is not taken, or SW_REASON_NONE; `has_slot` when one is held for
-   it. */
+/* Returns why the attempt is refused, or SW_REASON_NONE. `has_slot` says that a slot is
+   held for it. */
 static sw_reason
 refusal_of (Sidecar *sidecar,
             SidecarTarget *target,
@@ -123,7 +127,7 @@
     return SW_REASON_DRAINING;
   if (target->state == TARGET_EVACUATED)
     return SW_REASON_EVACUATED;
-  /* What follows was looked at when the slot was asked for. */
+  /* The remaining checks were made when the slot was requested. */
   if (has_slot)
     return SW_REASON_NONE;
   if (is_too_sick_for (target, args, clock_now (sidecar->node->clock)))
@@ -142,7 +146,7 @@
   return SW_REASON_NONE;
 }
 
-/* Holds a slot for a request that is still to come, or says why not. */
+/* Holds a slot for a request that is sent afterwards, or answers why it cannot. */
 static void
 answer_ask (Sidecar *sidecar, RpcConn *conn, guint32 xid, const sw_submit_args *args)
 {
@@ -268,7 +272,7 @@
         submission_break_off (submission, SW_REASON_CANCELLED);
       return;
     }
-  /* An attempt that may be on its way still is kept from starting. */
+  /* Fences the attempt, so that a message still in transit cannot start it. */
   if (!args->repeatable)
     fence_ask (sidecar->fence, &id, args->sidecar, (gint64)args->clock_us, &entry);
   if (!submission)
--- a/daemon/src/target/sidecar-holds.c
+++ b/daemon/src/target/sidecar-holds.c
@@ -1,7 +1,7 @@
 #include "sidecar-holds.h"
 
-/* Two ways between halls (a few milliseconds) with room for a busy ingress; a slot that
-   nobody takes is lost for so long. */
+/* Covers a round trip between halls (a few milliseconds) and the delay of a busy ingress.
+   A slot that is never claimed stays unused for this time. */
 #define HOLD_US (60 * MS_US)
 
 typedef struct
--- a/daemon/src/target/sidecar-holds.h
+++ b/daemon/src/target/sidecar-holds.h
@@ -1,6 +1,7 @@
 /*
- * Slots that a sidecar holds for requests of other halls: the body travels only where it
- * will be taken. A request that does not come in time gives its slot back.
+ * Slots that a sidecar holds for requests from other halls, so that a request body is
+ * sent between halls only if it will be accepted. A slot whose request does not arrive in
+ * time is released.
  */
 #ifndef DAEMON_SIDECAR_HOLDS_H
 #define DAEMON_SIDECAR_HOLDS_H
@@ -14,16 +15,17 @@
 SidecarHolds *sidecar_holds_create (Clock *clock);
 void sidecar_holds_destroy (SidecarHolds *holds);
 
-/* Holds a slot of the target for an attempt; FALSE when none is free. */
+/* Holds a slot of the target for an attempt. Returns FALSE if none is free. */
 gboolean
 sidecar_holds_add (SidecarHolds *holds, SidecarTarget *target, const AttemptId *id);
 
-/* Whether a slot of the target is held for the attempt; it is the caller's then. */
+/* Returns whether a slot of the target is held for the attempt. If so, the hold ends and
+   the caller owns the slot. */
 gboolean sidecar_holds_take (SidecarHolds *holds,
                              const SidecarTarget *target,
                              const AttemptId *id);
 
-/* Gives slots back that were held for too long. */
+/* Releases the slots whose hold has timed out. */
 void sidecar_holds_expire (SidecarHolds *holds);
 
 #endif
--- a/daemon/src/target/sidecar-private.h
+++ b/daemon/src/target/sidecar-private.h
@@ -1,8 +1,6 @@
 /*
- * What the files of the sidecar share: sidecar.c its life, submission.c one attempt at a
- * target from its admission to its answer, submission-watch.c what attempts say of their
- * target and route, submission-words.c what makes two of them the same request,
- * sidecar-calls.c the calls of ingresses.
+ * Declarations shared by the files of the sidecar. A submission is one attempt at a
+ * target, from its admission to its answer; its files begin with "submission".
  */
 #ifndef DAEMON_SIDECAR_PRIVATE_H
 #define DAEMON_SIDECAR_PRIVATE_H
@@ -19,18 +17,18 @@
 #include "sidecar-target.h"
 #include "sidecar.h"
 
-/* A target that has just broken off an exchange is tried soon, to tell a single break
-   from a bad spell; with each trial that fails the next waits longer, for bad spells last
-   seconds and a failed trial may cost its caller. */
+/* Backoff between trials of a sick target. The first trial comes soon after a failure, to
+   tell a single broken exchange from a bad spell. The delay doubles with each failed
+   trial, because bad spells last for seconds and a failed trial may harm its caller. */
 #define SIDECAR_TRIAL_FIRST_US (100 * MS_US)
 #define SIDECAR_TRIAL_DOUBLINGS_MAX 3u
 
-/* Somebody who waits for the end of an attempt. */
+/* A call that is answered when an attempt ends. */
 typedef struct
 {
   RpcConn *conn;
   guint32 xid;
-  gint64 until_us; /* -1 for as long as it takes */
+  gint64 until_us; /* -1 for no time-out */
 } Waiter;
 
 /* One attempt at a target of this VM. */
@@ -38,16 +36,16 @@
 {
   Sidecar *sidecar;
   SidecarTarget *target;
-  FenceEntry *entry;   /* NULL for repeatable work */
+  FenceEntry *entry;   /* NULL for a repeatable request */
   sw_submit_args args; /* owned copy */
   GArray *waiters;
   gint64 deadline_us;
   gint64 started_us;
-  HttpCall *call; /* while it runs */
+  HttpCall *call; /* NULL unless the attempt runs */
   gboolean running;
-  gboolean overdue;
+  gboolean overdue; /* has already counted as a failure of the target */
   RequestPrint print;
-  gboolean quarantine_trial; /* of a request that is held back otherwise */
+  gboolean quarantine_trial; /* this is a trial of a quarantined request */
 } Submission;
 
 struct Sidecar
@@ -65,10 +63,10 @@
   gboolean draining;
 };
 
-/* Counts a request that is turned away while its target is cold. */
+/* Counts a refused request if its target is cold. */
 void sidecar_count_cold (const SidecarTarget *target, const Sidecar *sidecar);
 
-/* Answers a call that has no submission; `target` may be NULL. */
+/* Answers a call without an answer of the target; `target` may be NULL. */
 void sidecar_reply_plain (Sidecar *sidecar,
                           RpcConn *conn,
                           guint32 xid,
@@ -77,7 +75,7 @@
                           sw_result result,
                           sw_reason reason);
 
-/* A submission with a copy of `args`; it is offered next. */
+/* Creates a submission with a copy of `args`. The caller offers or starts it next. */
 Submission *
 submission_create (Sidecar *sidecar, SidecarTarget *target, const sw_submit_args *args);
 void submission_free (Submission *submission);
@@ -86,38 +84,45 @@
                             guint32 xid,
                             gint64 until_us);
 
-/* Starts one whose slot has been taken; it may be over afterwards. */
+/* Starts a submission whose slot has been taken, or refuses it if it may not run any
+   more. The submission may have been freed on return. */
 void submission_start (Submission *submission);
 
-/* Starts it, lets it wait, or refuses it; it may be over afterwards. */
+/* Starts, queues or refuses a submission, which may have been freed on return. */
 void submission_offer (Submission *submission);
 
-/* Starts what waits at a target and has a slot, and ends what waited too long. */
+/* Refuses the submissions that have waited too long at a target, and starts those that
+   get a slot. */
 void submission_start_waiting (SidecarTarget *target);
 
-/* Ends one that never started. */
+/* Ends a submission that has not started. */
 void submission_refuse (Submission *submission, sw_reason reason);
 
-/* Ends one that runs and may be repeated; its connection to the target is closed. */
+/* Aborts a running, repeatable submission. The target notices by the closed connection.
+ */
 void submission_break_off (Submission *submission, sw_reason reason);
 
-/* What the end of its exchange says of the target, and of its route: the latter goes into
-   `res`. */
+/* Reports the end of the exchange to the target's detector and to the route's latency
+   statistics, and stores the route's latency fit in `res` after a good answer. */
 void submission_note_end (const Submission *submission,
                           sw_submit_res *res,
                           const HttpResult *result,
                           gboolean failed);
 
-/* Nobody waits for it any more: that it took too long counts against its target. */
+/* Notes that the result is no longer needed. This counts against the target if the
+   attempt is late. */
 void submission_note_given_up (Submission *submission);
 
-/* What makes it the same request as another; texts are borrowed from it. */
+/* Returns the parts that identify the request when it comes again. Texts are borrowed
+   from the submission. */
 FingerprintWords submission_words (const Submission *submission);
 
-/* What is known of how long answers on its route take. */
+/* Returns the latency distribution of the route: that of the service's other targets if
+   it is known, else that of this VM. */
 LatencyFit submission_fit (const Submission *submission);
 
-/* What time brings about; the latter may end the submission. */
+/* Called periodically: the first answers waiters whose time is over that the attempt is
+   still running, the second counts an overdue attempt against its target. */
 void submission_answer_late_waiters (Submission *submission, gint64 now);
 void submission_check_overdue (Submission *submission, gint64 now);
 
--- a/daemon/src/target/sidecar-target.c
+++ b/daemon/src/target/sidecar-target.c
@@ -39,7 +39,8 @@
   target->service = g_strdup (service->name);
   g_free (target->address);
   target->address = g_strdup (config->address);
-  /* While its hall was evacuated it may have turned cold; its next word tells. */
+  /* The target may have become cold while its hall was evacuated. It counts as cold until
+     it reports again. */
   if (target->state == TARGET_EVACUATED && config->state != TARGET_EVACUATED)
     warmup_assume_cold (target->warmup);
   target->state = config->state;
--- a/daemon/src/target/sidecar-target.h
+++ b/daemon/src/target/sidecar-target.h
@@ -1,5 +1,5 @@
 /*
- * One target of this VM: its settings, admission, and detection.
+ * One target of this VM: its settings, admission and health.
  */
 #ifndef DAEMON_SIDECAR_TARGET_H
 #define DAEMON_SIDECAR_TARGET_H
@@ -20,36 +20,38 @@
   Detection detection;
   gsize answer_max;
   Warmup *warmup;
-  Admission *admission; /* bounded by it */
+  Admission *admission; /* bounded by `warmup` */
   Detector *detector;
   Shedding *shedding;
   Proof proof;
-  gint64 answered_us;   /* when the last whole answer came; 0 for never */
-  gint64 next_trial_us; /* while it is sick */
-  guint32 serial;
-  guint told_severity; /* as last published */
+  gint64 answered_us;   /* time of the last complete answer; 0 for none */
+  gint64 next_trial_us; /* used while the target is sick */
+  guint32 serial;       /* of the last report of its state */
+  guint told_severity;  /* as last published in gossip, like the next two */
   gboolean told_leaving;
   gboolean told_shedding;
-  gboolean present; /* named by the configuration in force */
+  gboolean present; /* listed in the current configuration */
 } SidecarTarget;
 
 SidecarTarget *
 sidecar_target_create (const Service *service, const Target *target, Clock *clock);
 void sidecar_target_destroy (SidecarTarget *target);
 
-/* Takes new settings. */
+/* Applies new settings. */
 void sidecar_target_update (SidecarTarget *target,
                             const Service *service,
                             const Target *config,
                             Clock *clock);
 
-/* Whether it takes nothing new: it leaves, has gone, or its whole node drains. */
+/* Returns whether the target takes no new requests because it is leaving, is not in the
+   configuration any more, or its node drains. */
 gboolean sidecar_target_is_leaving (const SidecarTarget *target, gboolean draining);
 
-/* The target's own word of how much longer it is cold; 0 for warm. */
+/* Takes the target's own report of how much longer it stays cold; 0 if it is warm. */
 void sidecar_target_note_cold (SidecarTarget *target, gint64 cold_us);
 
-/* What is said of it in answers; the text is borrowed. Raises the serial. */
+/* Fills in the state that answers carry, and increments the serial. The target's name is
+   borrowed. */
 void
 sidecar_target_state (SidecarTarget *target, gboolean draining, sw_target_state *state);
 
--- a/daemon/src/target/sidecar.c
+++ b/daemon/src/target/sidecar.c
@@ -6,7 +6,7 @@
 #include "registry.h"
 #include "verdicts.h"
 
-/* How often verdicts, waiting requests and overdue ones are looked at. */
+/* Interval between checks of verdicts, waiting requests and overdue requests. */
 #define SWEEP_US (50 * MS_US)
 
 void
@@ -17,8 +17,8 @@
   stamp->clock_us = (guint64)clock_now (sidecar->node->clock);
 }
 
-/* Why those who wait at a target are better off elsewhere, at once; SW_REASON_NONE where
-   they are not. */
+/* Returns why the requests waiting at a target must be refused now, so that they can go
+   elsewhere; SW_REASON_NONE if they may go on waiting. */
 static sw_reason
 reason_to_move (const Sidecar *sidecar, const SidecarTarget *target)
 {
@@ -61,7 +61,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  /* Checking may end submissions. */
+  /* Iterates over a copy, so that a check may end submissions. */
   running = g_hash_table_get_keys (sidecar->submissions);
   for (GList *item = running; item; item = item->next)
     {
@@ -202,7 +202,7 @@
             take_target (sidecar, service, target);
         }
     }
-  /* A target that has gone is kept while requests of it run. */
+  /* A target removed from the configuration is kept while requests run or wait there. */
   g_hash_table_iter_init (&iter, sidecar->targets);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -232,7 +232,8 @@
     metrics_add (sidecar->node->metrics, METRIC_COLD_REFUSED, 1);
 }
 
-/* Whether a target may have seen the request before, or one that called for it. */
+/* Returns whether a target may already have received this request, or the request for
+   which it is made. */
 static gboolean
 is_repeat (const Submission *submission)
 {
--- a/daemon/src/target/sidecar.h
+++ b/daemon/src/target/sidecar.h
@@ -1,5 +1,5 @@
 /*
- * The sidecar: guards the targets on this node's VM. Nothing reaches them but here.
+ * The sidecar guards the targets on this node's VM. All requests to them pass through it.
  */
 #ifndef DAEMON_SIDECAR_H
 #define DAEMON_SIDECAR_H
@@ -12,49 +12,53 @@
 Sidecar *sidecar_create (Node *node);
 void sidecar_destroy (Sidecar *sidecar);
 
-/* Takes the targets of this VM from a new configuration. */
+/* Applies a new configuration to the targets of this VM. */
 void sidecar_apply (Sidecar *sidecar, const Snapshot *snapshot);
 
-/* A target's own word of how much longer it is cold; 0 for warm. */
+/* Takes the target's own report of how much longer it stays cold; 0 if it is warm. */
 void sidecar_note_cold (Sidecar *sidecar, const char *target, gint64 cold_us);
 
-/* Takes calls; each is answered through `conn`, now or later. `args` is borrowed. */
+/* Handle calls of ingresses; each is answered through `conn`, at once or later. `args` is
+   borrowed. */
 void
 sidecar_submit (Sidecar *sidecar, RpcConn *conn, guint32 xid, const sw_submit_args *args);
 void
 sidecar_fence (Sidecar *sidecar, RpcConn *conn, guint32 xid, const sw_fence_args *args);
 
-/* Nobody waits for an attempt any more: it does not start, or is broken off where it may
-   be repeated. */
+/* Cancels an attempt whose result is no longer needed. It does not start if it has not
+   yet; if it runs, it is aborted only if it is repeatable. */
 void sidecar_cancel (Sidecar *sidecar, const sw_cancel_args *args);
 
-/* This sidecar's incarnation and clock, as of now; texts borrowed from the settings. */
+/* Fills in the node's name, the sidecar's incarnation and its clock reading. The name is
+   borrowed from the settings. */
 void sidecar_stamp (const Sidecar *sidecar, sw_stamp *stamp);
 
-/* What a call that a target makes takes over from the request that it is made for. */
+/* What an outgoing call of a target inherits from the request it is made for. */
 typedef struct
 {
-  gboolean repeat;        /* the request is not at its first attempt */
-  guint account_priority; /* of the account whose request it is */
+  gboolean repeat;        /* the request may have been attempted before */
+  guint account_priority; /* priority of the request's account; 0 is the highest */
 } CallTerms;
 
-/* The terms for a call of the request of that id; those of nobody's first attempt where
-   it does not run here. */
+/* Returns what a call made for the running request `id` inherits. If no such request runs
+   here, the result is that of a first attempt at the lowest account priority. */
 CallTerms sidecar_call_terms (const Sidecar *sidecar, const char *id);
 
-/* The states of all targets; the array is the caller's to free, its texts not. */
+/* Fills in the states of the targets, SW_STATES_MAX at most. The caller frees the array,
+   but not its texts. */
 void sidecar_states (Sidecar *sidecar, sw_hello_res *res);
 
-/* From now on takes only what can start at once; what waits is sent elsewhere. */
+/* Stops queueing: from now on only requests that can start at once are admitted. Waiting
+   requests are refused, so that their ingresses can send them elsewhere. */
 void sidecar_close_queues (Sidecar *sidecar);
 
-/* Takes nothing new from now on. */
+/* Refuses all waiting and new requests from now on. */
 void sidecar_drain (Sidecar *sidecar);
 
-/* Requests that run or wait at this VM's targets. */
+/* Returns the number of requests that run or wait at this VM's targets. */
 guint sidecar_active (const Sidecar *sidecar);
 
-/* Appends an array of the targets with their verdicts and why. */
+/* Appends an array of the targets with their verdicts and the reasons for them. */
 void sidecar_write_status (Sidecar *sidecar, JsonBuilder *builder);
 
 #endif
--- a/daemon/src/target/submission-watch.c
+++ b/daemon/src/target/submission-watch.c
@@ -10,7 +10,7 @@
   return latency_book_fit (submission->sidecar->latencies, submission->args.route);
 }
 
-/* Whether the target has answered nothing since this was sent to it. */
+/* Returns whether the target has answered no request since this one was sent. */
 static gboolean
 is_silent (const Submission *submission)
 {
@@ -28,10 +28,11 @@
 
   if (failed)
     proof_note_failure (&target->proof);
-  /* Old work that hung ends one piece after the other: it must not put trials off. */
+  /* The detector ignores failures of requests sent before the target became sick. They
+     end one after the other and must not postpone the next trial. */
   if (!detector_observe (target->detector, &sample))
     return;
-  /* The next trial counts from this end: at once after a good one. */
+  /* The next trial may follow a good answer at once, and a failure after a backoff. */
   target->next_trial_us = failed
                               ? now + (SIDECAR_TRIAL_FIRST_US
                                        << MIN (detector_failed_trials (target->detector),
@@ -39,8 +40,8 @@
                               : now;
 }
 
-/* Of a request that takes too long while others are answered, the target is not to blame:
-   some routes' work outlasts what the route allows. */
+/* Returns whether a time-out is the route's fault: the target answers other requests
+   meanwhile. Some routes' requests run longer than the route allows. */
 static gboolean
 is_slow_route (const Submission *submission, const sw_submit_res *res)
 {
@@ -59,8 +60,8 @@
   if (!submission->overdue && !is_slow_route (submission, res) &&
       res->reason != SW_REASON_TARGET_REFUSED)
     observe (submission, failed, res->result == SW_FAILED, result->took_us);
-  /* An answer that says the work failed shows all the same that the target answers. How
-     long it takes when it is well is for the others to tell: failing is often quick. */
+  /* An error answer also shows that the target responds. Only good answers count for the
+     route's latency, because failures are often quick. */
   if (res->result == SW_DONE)
     submission->target->answered_us = clock_now (sidecar->node->clock);
   if (failed)
@@ -70,7 +71,7 @@
   res->route_fit = latency_fit_pack (&fit);
 }
 
-/* A request that takes too long speaks against its target long before its deadline. */
+/* Counts an overdue request as a failure of its target, long before the deadline. */
 static void
 note_overdue (Submission *submission, gint64 age)
 {
--- a/daemon/src/target/submission-words.c
+++ b/daemon/src/target/submission-words.c
@@ -26,7 +26,8 @@
                              .body = args->body.body_val,
                              .body_len = args->body.body_len };
 
-  /* A key that the fleet knows nothing of tells callers apart all the same. */
+  /* Without an account, the access key distinguishes callers, even if the fleet does not
+     know the key. */
   if (!account)
     words.account = header_of (args, CREDENTIALS_HEADER);
   return words;
--- a/daemon/src/target/submission.c
+++ b/daemon/src/target/submission.c
@@ -10,7 +10,7 @@
 #include "log.h"
 #include "peers.h"
 
-/* Completes an answer with the sidecar's stamp and the target's state, and sends it. */
+/* Adds the sidecar's stamp and the target's state to an answer, and sends it. */
 static void
 sidecar_reply (Sidecar *sidecar,
                RpcConn *conn,
@@ -75,7 +75,7 @@
   g_free (submission);
 }
 
-/* Answers all that wait, and ends the submission. */
+/* Answers all waiters and frees the submission. */
 static void
 finish (Submission *submission, sw_submit_res *res)
 {
@@ -91,7 +91,7 @@
   submission_free (submission);
 }
 
-/* Ends a submission that never started, with when to come back. */
+/* Ends a submission that has not started, and tells its waiters when to retry. */
 static void
 refuse (Submission *submission, sw_reason reason, gint64 retry_after_us)
 {
@@ -121,7 +121,7 @@
     submission_start (next);
 }
 
-/* Keeps the whole answer for an ingress that may have lost it. */
+/* Stores the complete answer in the fence, in case the ingress does not receive it. */
 static void
 record_end (Submission *submission, sw_submit_res *res)
 {
@@ -153,9 +153,9 @@
   end_watches_note_break (sidecar->ends, &where, &work);
 }
 
-/* What the end of the exchange says of the request itself, where it is suspected: a good
-   answer takes it all back. Targets in a bad spell answer with failures of their own that
-   no request has run to. */
+/* Reports the end of the exchange to the quarantine. A good answer clears a suspected
+   request. An error answer does not, because targets in a bad spell return errors of
+   their own without running the request. */
 static void
 note_quarantine (Submission *submission, const HttpResult *result, gboolean failed)
 {
@@ -173,11 +173,12 @@
   quarantine_node_note_answer (quarantine, &submission->print, &words);
 }
 
-/* The target did not run it: proof for the caller, and the place of an answer. */
+/* Handles a refusal by the target, which proves to the caller that the request did not
+   run and takes the place of an answer. */
 static void
 note_target_refusal (Submission *submission, guint status, sw_submit_res *res)
 {
-  /* Taken for another target, it says nothing of its own readiness. */
+  /* A request meant for another target tells nothing about this target's load. */
   if (status != HTTP_MISDIRECTED)
     shedding_note (submission->target->shedding);
   res->retry_after_ms =
@@ -241,8 +242,9 @@
   return headers;
 }
 
-/* Whether the request may run, by what is known of it: also of one that has waited, or
-   whose ingress does not know yet. Refuses it where not. */
+/* Returns whether the quarantine lets the request run, and refuses it if not. The check
+   is made right before the start, because the request may have been quarantined while it
+   waited, or its ingress may not know yet. */
 static gboolean
 pass_quarantine (Submission *submission)
 {
@@ -282,8 +284,8 @@
     }
   if (!pass_quarantine (submission))
     return;
-  /* The record comes before the first byte: a start that is not recorded never happens.
-   */
+  /* The fence records the start before the first byte is sent. Without that record the
+     attempt does not start. */
   if (submission->entry && !fence_start (submission->entry))
     {
       admission_release (target->admission, -1);
@@ -356,8 +358,6 @@
     }
 }
 
-/* Breaks off work that may be repeated; the target hears of it by the closed connection.
- */
 void
 submission_break_off (Submission *submission, sw_reason reason)
 {
