--- a/daemon/src/target/end-watch.c
+++ b/daemon/src/target/end-watch.c
@@ -4,17 +4,18 @@
 
 #include "log.h"
 
-/* The connections of a process that ends break within a millisecond of each other. */
+/* Time for which broken attempts are collected. The connections of a crashing process
+   break within a millisecond of each other. */
 #define GATHER_US (5 * MS_US)
-/* A refusal comes within a round trip on the VM itself. */
+/* On the same VM a refused connection is reported within a round trip. */
 #define CHECK_TIMEOUT_US (100 * MS_US)
-/* In a bad spell a target breaks off most of what it gets: so many checks at the most,
-   each the price of a connection. */
+/* Least time between checks of a target. In a bad spell a target breaks off most
+   requests, and each check costs it a connection. */
 #define CHECK_GAP_US (50 * MS_US)
-/* A target with more at work tells little of each: no more are kept. */
+/* Broken attempts kept for one target; with more, a crash tells little about each. */
 #define WORK_MAX 32u
 
-/* What has broken at one target, and is not known yet to have been its end. */
+/* Broken attempts at one target, until it is known whether it has crashed. */
 typedef struct
 {
   EndWatches *owner;
@@ -25,7 +26,7 @@
   gint64 first_break_us;
   gint64 checked_us; /* when the last check began */
   LoopTimer *timer;
-  ConnectCheck *check; /* NULL for none under way */
+  ConnectCheck *check; /* NULL if no check is in progress */
 } EndWatch;
 
 struct EndWatches
@@ -101,7 +102,8 @@
   g_array_append_val (requests, *request);
 }
 
-/* Several of them may be the same request, which counts once. */
+/* Returns the fingerprints of the broken attempts. Several attempts may carry the same
+   request, which counts once. The caller frees the array. */
 static GArray *
 distinct_requests (const EndWatch *watch)
 {
@@ -117,7 +119,7 @@
   return requests;
 }
 
-/* The target lives on: a trial among what it broke off has shown nothing. */
+/* Handles breaks that were no crash: trials among them were inconclusive. */
 static void
 lives_on (EndWatch *watch)
 {
@@ -160,7 +162,7 @@
   loop_timer_start (watch->timer, 0);
 }
 
-/* Either enough has been gathered, or the last check is over. */
+/* Runs when the collection time is over, and after each check to free it. */
 static void
 on_timer (gpointer data)
 {
@@ -171,7 +173,7 @@
   g_clear_pointer (&watch->check, connect_check_destroy);
   if (watch->work->len == 0)
     return;
-  /* The process is there. */
+  /* An older request still runs, so the process has not crashed. */
   if (watches->owner->works_on (watch->target, watch->first_break_us, watches->data))
     {
       lives_on (watch);
@@ -201,7 +203,8 @@
   return watch;
 }
 
-/* Watches over targets that have gone are dropped once nothing happens there. */
+/* Drops the idle watches of all targets except `but`, so that none stay for targets that
+   no longer exist. */
 static void
 drop_idle (EndWatches *watches, const char *but)
 {
--- a/daemon/src/target/end-watch.h
+++ b/daemon/src/target/end-watch.h
@@ -1,7 +1,7 @@
 /*
- * Targets that end under their work. A broken exchange is no end: targets in a bad spell
- * break off single requests and live on. An end breaks all that is at work at once, and
- * then nothing listens there any more.
+ * Detects targets that crash while they run requests. A broken exchange alone is no proof
+ * of a crash, because targets in a bad spell break off single requests and keep running.
+ * A crash breaks all exchanges at once, and afterwards nothing listens at the address.
  */
 #ifndef DAEMON_END_WATCH_H
 #define DAEMON_END_WATCH_H
@@ -10,16 +10,16 @@
 
 #include "node.h"
 
-/* A request that its target has broken off. */
+/* An attempt that its target has broken off. */
 typedef struct
 {
   Fingerprints prints;
-  char *attempt;  /* its name in logs; taken over */
-  gboolean trial; /* of a request that is held back otherwise */
+  char *attempt;  /* the name used in logs; end_watches_note_break takes ownership */
+  gboolean trial; /* this is a trial of a quarantined request */
   gint64 ran_us;
 } BrokenWork;
 
-/* Where it was; texts are copied. */
+/* The target of a broken attempt; texts are copied. */
 typedef struct
 {
   const char *name;
@@ -27,14 +27,16 @@
   const char *address;
 } WatchedTarget;
 
-/* What the watches ask and tell their owner. */
+/* Callbacks to the owner of the watches. */
 typedef struct
 {
-  /* Whether something that was sent to the target before then is at work there still. */
+  /* Returns whether a request that was sent to the target before `before_us` still runs
+     there. */
   gboolean (*works_on) (const char *target, gint64 before_us, gpointer data);
-  /* A target has ended under these requests (Fingerprint), each of which stands once. */
+  /* A target has crashed while it ran these requests: an array of Fingerprint without
+     duplicates. */
   void (*ended) (const char *service, const GArray *requests, gpointer data);
-  /* It lives on, and this trial was broken off. */
+  /* A trial was broken off, but the target did not crash. */
   void (*trial_broken) (const Fingerprints *prints, gpointer data);
 } EndWatchOwner;
 
--- a/daemon/src/target/registry.c
+++ b/daemon/src/target/registry.c
@@ -15,11 +15,11 @@
 #define PATH_PREFIX "/v1/targets/"
 #define HEARTBEAT_SUFFIX "/heartbeat"
 #define LEAVE_SUFFIX "/leave"
-/* A heartbeat is a few hundred bytes; its answer must stay under 4 KB. */
+/* A heartbeat has a few hundred bytes, and its answer must stay under 4 KB. */
 #define BODY_MAX (16u * 1024)
 #define CONNECTIONS_MAX 64u
 #define SLOTS_MAX 100000
-/* A target that says it stays cold for longer is heard again long before. */
+/* A target that stays cold for longer than this reports again long before. */
 #define COLD_MAX_MS (3600 * 1000)
 
 static const char *const state_names[] = { "serving", "leaving", NULL };
@@ -29,15 +29,15 @@
   Node *node;
   HttpServer *server;
   Succession *starts;
-  char *service; /* of the present start; NULL before the first heartbeat */
-  char *version; /* of its software, "" where it is not said; likewise */
+  char *service; /* of the current start; NULL before the first heartbeat */
+  char *version; /* of the software, "" if not reported; likewise */
   guint slots;
   gboolean leaving;
-  gboolean cold; /* as it last said */
-  gboolean news;
+  gboolean cold; /* as last reported */
+  gboolean news; /* the registration has changed */
 };
 
-/* What one heartbeat says. */
+/* The content of one heartbeat. */
 typedef struct
 {
   char *service;
@@ -46,7 +46,7 @@
   gboolean leaving;
   gint64 sequence;
   gint64 cold_us;
-  gint64 born; /* Unix milliseconds; 0 where it is not said */
+  gint64 born; /* start time in Unix milliseconds; 0 if not reported */
 } Heartbeat;
 
 static void
@@ -74,7 +74,7 @@
   return json_faults_count (faults) == 0;
 }
 
-/* Puts the registration in force here, and on its way to the others. */
+/* Applies the registration on this node, and marks it for publication to the others. */
 static void
 publish (Registry *registry)
 {
@@ -105,7 +105,7 @@
 static void
 take_state (Registry *registry, SuccessionAnswer answer, const Heartbeat *heartbeat)
 {
-  /* A target that has said it leaves does not come back under the same name. */
+  /* A target that has announced that it leaves does not return under the same name. */
   if (answer == SUCCESSION_SAME &&
       (registry->leaving || registry->leaving == heartbeat->leaving) &&
       strcmp (registry->service, heartbeat->service) == 0 &&
@@ -134,9 +134,9 @@
   take_cold (registry, name, heartbeat->cold_us);
 }
 
-/* The start that leaves: the one that began when it says, or, where it does not say, the
-   present one of that identifier. NULL, with a line in the log, for what cannot be read.
- */
+/* Returns the name of the start that leaves: the one given by "born" in the body or, if
+   that is missing, the current one if it has this identifier. Logs and returns NULL if
+   the body is not valid. The caller frees the name. */
 static char *
 leaving_start (Registry *registry, const char *identifier, const GByteArray *body)
 {
@@ -196,7 +196,8 @@
   heartbeat_clear (&heartbeat);
 }
 
-/* The name between the prefix and `suffix`, or NULL; the caller frees it. */
+/* Returns the name between PATH_PREFIX and `suffix`, or NULL if the path has no valid
+   one. The caller frees it. */
 static char *
 name_in (const char *path, const char *suffix)
 {
--- a/daemon/src/target/registry.h
+++ b/daemon/src/target/registry.h
@@ -1,13 +1,18 @@
 /*
- * The target beside this node that registers itself: it calls with its state about once
- * a second, and before it leaves. This node is the authority on it for the whole fleet.
+ * Self-registration of the target on this node's VM. The target reports its state about
+ * once a second, and before it leaves. This node is the authority on it for the whole
+ * fleet.
  *
- *   POST /v1/targets/NAME/heartbeat   {"service", "slots", "state": "serving"|"leaving",
- *                                      "sequence", "cold_ms", ...}; 200 when it has been
- * taken in POST /v1/targets/NAME/leave       it leaves and calls no more
+ *   POST /v1/targets/NAME/heartbeat
+ *       Body: {"service", "slots", "state": "serving"|"leaving", "sequence", "cold_ms",
+ *       "version", "born"}
+ *   POST /v1/targets/NAME/leave
+ *       The target is leaving and makes no more calls. Body: empty or {"born"}
  *
- * NAME is new with each start of the target. A call that is answered with 200 is in
- * force.
+ * NAME is the target's identifier. It is new with each start, unless "born" (the time of
+ * the start in Unix milliseconds) distinguishes the starts. A call answered with 200 is
+ * in effect. A heartbeat that is out of date, from an earlier start or with an old
+ * sequence number, is answered with 200 and ignored.
  */
 #ifndef DAEMON_REGISTRY_H
 #define DAEMON_REGISTRY_H
@@ -16,21 +21,22 @@
 
 #include "node.h"
 
-/* NULL, with `error` set, when the address cannot be bound. */
+/* Returns NULL and sets `error` if the address cannot be bound. */
 Registry *registry_create (Node *node, GError **error);
 void registry_destroy (Registry *registry);
 
-/* Whether the registration changed since this was last asked. FALSE for NULL. */
+/* Returns whether the registration has changed since the last call; FALSE for NULL. */
 gboolean registry_take_news (Registry *registry);
 
-/* Whether the target has said that it leaves. FALSE for NULL. */
+/* Returns whether the target has announced that it leaves; FALSE for NULL. */
 gboolean registry_is_leaving (const Registry *registry);
 
-/* The version of its service's software that the target runs, as it says; NULL for not
-   known, and for NULL. */
+/* Returns the software version that the target reports: NULL before the first heartbeat
+   or if `registry` is NULL, "" if the target does not report it. */
 const char *registry_version (const Registry *registry);
 
-/* The registration for other nodes, borrowed; returns how many there are (0 or 1). */
+/* Fills in the registration for other nodes; its texts are borrowed. Returns the number
+   of registrations, 0 or 1. */
 guint registry_fill (const Registry *registry, sw_registration *registration);
 
 #endif
--- a/daemon/src/target/verdicts.c
+++ b/daemon/src/target/verdicts.c
@@ -27,7 +27,7 @@
   target->told_leaving = leaving;
 }
 
-/* Notes what has changed since the last time; FALSE when nothing has. */
+/* Records the changes since the last call. Returns FALSE if there are none. */
 static gboolean
 note_changes (Node *node, GHashTable *targets, gboolean draining)
 {
--- a/daemon/src/target/verdicts.h
+++ b/daemon/src/target/verdicts.h
@@ -1,6 +1,6 @@
 /*
- * What this node's sidecar makes known of its targets: verdicts in gossip, events when
- * they change, and the status for operators.
+ * Publishes the health of this node's targets: verdicts in gossip, events when they
+ * change, and the status for operators.
  */
 #ifndef DAEMON_VERDICTS_H
 #define DAEMON_VERDICTS_H
@@ -8,12 +8,13 @@
 #include "node.h"
 
 /*
- * Puts verdicts that have changed into this member's words, and spreads them at once.
- * `targets` is a table of SidecarTarget by name; `draining` says that all of them leave.
+ * Updates this member's gossip state and disseminates it at once, if any verdict or the
+ * registration has changed. `targets` maps names to SidecarTarget; `draining` says that
+ * all of them are leaving.
  */
 void verdicts_publish (Node *node, GHashTable *targets, gboolean draining);
 
-/* Appends an array of the targets with their verdicts and why. */
+/* Appends an array of the targets with their verdicts and the reasons for them. */
 void verdicts_write (GHashTable *targets, gboolean draining, JsonBuilder *builder);
 
 #endif
