--- a/daemon/src/quarantine/quarantine-node.c
+++ b/daemon/src/quarantine/quarantine-node.c
@@ -9,12 +9,12 @@
 {
   Node *node;
   Quarantine *list;
-  QuarantineNewsFunc news_func; /* NULL for nobody */
+  QuarantineNewsFunc news_func; /* may be NULL */
   gpointer news_data;
-  GHashTable *behind; /* set of names: members whose list differs from this node's */
+  GHashTable *behind; /* set of names of members whose list differs from this node's */
 };
 
-/* One line for each request that is held back or let go. */
+/* Logs each request that is quarantined or released. */
 static void
 on_changed (const QuarantineEntry *entry, gpointer data)
 {
@@ -79,7 +79,8 @@
   return FALSE;
 }
 
-/* Whether the request may be on the list; its print is whole then. */
+/* Returns whether the request may have an entry. If so, its fingerprints are complete
+   afterwards. */
 static gboolean
 may_know (const QuarantineNode *quarantine,
           RequestPrint *print,
@@ -97,7 +98,7 @@
   return TRUE;
 }
 
-/* News goes out at once, rather than with the next probe. */
+/* Asks for updates to be sent at once instead of with the next probe. */
 static void
 tell (QuarantineNode *quarantine)
 {
@@ -105,7 +106,6 @@
     quarantine->news_func (quarantine->news_data);
 }
 
-/* The worst that is known of it by any of its names. */
 QuarantineVerdict
 quarantine_node_check (QuarantineNode *quarantine,
                        RequestPrint *print,
@@ -242,7 +242,8 @@
     }
   if (any)
     metrics_add (quarantine->node->metrics, METRIC_QUARANTINE_NEWS, 1);
-  /* What the sender lacks goes with the next message to it, the answer to this one. */
+  /* A sender whose list differs gets entries with the next message to it, which is the
+     answer to this one. */
   if (message->quarantine_digest != quarantine_digest (quarantine->list))
     g_hash_table_add (quarantine->behind, g_strdup (message->from));
   else
--- a/daemon/src/quarantine/quarantine-node.h
+++ b/daemon/src/quarantine/quarantine-node.h
@@ -1,7 +1,7 @@
 /*
- * A node's part in the quarantine (core/quarantine.h): what its own sidecar sees, what
- * others tell, what is logged of it. Ingress and sidecar ask here before a request is
- * sent on or started.
+ * The node's side of the quarantine (core/quarantine.h): it takes the crashes and answers
+ * that its own sidecar observes and the updates of other nodes, and logs changes. The
+ * ingress checks a request here before sending it on, the sidecar before starting it.
  */
 #ifndef DAEMON_QUARANTINE_NODE_H
 #define DAEMON_QUARANTINE_NODE_H
@@ -14,16 +14,16 @@
 
 typedef struct QuarantineNode QuarantineNode;
 
-/* A request's fingerprints, made only as far as they are needed. A zeroed one has none.
- */
+/* A request's fingerprints, computed only as far as they are needed. A zeroed struct has
+   none. */
 typedef struct
 {
   gboolean has_body;
-  guint worst; /* which of the prints most is known of, after a check */
+  guint worst; /* index of the fingerprint with the worst verdict, after a check */
   Fingerprints prints;
 } RequestPrint;
 
-/* Told that there is news to be spread soon. */
+/* Called when there are updates to disseminate soon. */
 typedef void (*QuarantineNewsFunc) (gpointer data);
 
 QuarantineNode *quarantine_node_create (Node *node);
@@ -32,18 +32,19 @@
                                QuarantineNewsFunc func,
                                gpointer data);
 
-/* Whether requests to the service may be known: the three that follow are asked only
-   then, so that nothing is made of requests that nothing is known of. */
+/* Returns whether the quarantine has entries for the service. Only then are the next
+   three functions called, so that other requests need no fingerprint. */
 gboolean quarantine_node_watches (const QuarantineNode *quarantine, const char *service);
 
-/* What may become of a request now; `words` are read where the print lacks something. */
+/* Returns the worst verdict on any of the request's fingerprints. Those that `print`
+   lacks are computed from `words`. */
 QuarantineVerdict quarantine_node_check (QuarantineNode *quarantine,
                                          RequestPrint *print,
                                          const FingerprintWords *words);
 
-/* The sidecar is about to start a request: whether it may; `*trial` becomes TRUE where
-   this is the trial of one that is held back, which only an attempt that offers itself
-   is. */
+/* Returns whether the sidecar may start a request. A quarantined request may start only
+   as a trial that is due, if the attempt was `offered` as one. `*trial` is set only for a
+   quarantined request: to whether it starts as a trial. */
 gboolean quarantine_node_admits (QuarantineNode *quarantine,
                                  RequestPrint *print,
                                  const FingerprintWords *words,
@@ -51,43 +52,46 @@
                                  gboolean *trial,
                                  gint64 *retry_after_us);
 
-/* A request has run to a good answer here. */
+/* Notes that a request has had a good answer from a target of this VM. */
 void quarantine_node_note_answer (QuarantineNode *quarantine,
                                   RequestPrint *print,
                                   const FingerprintWords *words);
-/* A trial here came to neither an answer nor an end. */
+/* Notes that a trial on this VM ended with neither a good answer nor a crash. */
 void quarantine_node_trial_undecided (QuarantineNode *quarantine,
                                       const Fingerprints *prints);
 
-/* A target of this VM has ended under these requests (Fingerprint); `version` is of its
-   software, NULL for not known. */
+/* Notes that a target of this VM crashed while it ran these requests (Fingerprint).
+   `version` is that of its software, NULL if not known. */
 void quarantine_node_note_end (QuarantineNode *quarantine,
                                const char *service,
                                const char *version,
                                const GArray *requests);
-/* A target of this VM runs a version of its service's software. */
+/* Notes the version of the service's software that a target of this VM runs. */
 void quarantine_node_note_version (QuarantineNode *quarantine,
                                    const char *service,
                                    const char *version);
 
-/* News for `to` (NULL for nobody known) on a message, which quarantine_node_drop_news
-   frees; and what a message brings: TRUE when it is to be told on. */
+/* Adds updates to a message for the member `to`, NULL if the receiver is not known.
+   quarantine_node_drop_news frees them. */
 void
 quarantine_node_put_news (QuarantineNode *quarantine, const char *to, sw_gossip *message);
 void quarantine_node_drop_news (sw_gossip *message);
+/* Merges the updates of a message. Returns TRUE if they changed something and have to be
+   disseminated. */
 gboolean quarantine_node_take_news (QuarantineNode *quarantine, const sw_gossip *message);
 QuarantineUrgency quarantine_node_urgency (const QuarantineNode *quarantine);
 
-/* What time brings about. */
+/* Called periodically: quarantines and forgets entries whose time has come. */
 void quarantine_node_tick (QuarantineNode *quarantine);
 
-/* An operator lets a request go, by its first digits; FALSE for none or several. */
+/* Lifts the quarantine of a request on an operator's command. `digits` are the first of
+   its fingerprint. Returns FALSE if no entry or several entries match. */
 gboolean quarantine_node_lift (QuarantineNode *quarantine, const char *digits);
 
-/* Requests that are held back now. */
+/* Returns the number of quarantined requests. */
 guint quarantine_node_held (const QuarantineNode *quarantine);
 
-/* Appends the list of what is known. */
+/* Appends an array of all entries. */
 void quarantine_node_write (const QuarantineNode *quarantine, JsonBuilder *builder);
 
 #endif
--- a/daemon/src/quarantine/quarantine-words.h
+++ b/daemon/src/quarantine/quarantine-words.h
@@ -1,6 +1,6 @@
 /*
- * The quarantine's news as it stands in messages between nodes, and back. Ages there are
- * in whole milliseconds.
+ * Converts quarantine updates to and from the form in which messages between nodes carry
+ * them. Ages are in whole milliseconds there.
  */
 #ifndef DAEMON_QUARANTINE_WORDS_H
 #define DAEMON_QUARANTINE_WORDS_H
@@ -8,9 +8,9 @@
 #include <core/quarantine.h>
 #include <wire/message.h>
 
-/* Fills words whose list of ends the caller frees. */
+/* Fills in `words`; the caller frees its array of ends. */
 void quarantine_words_fill (const QuarantineNews *news, sw_quarantine *words);
-/* FALSE for words that say more than there can be. */
+/* Returns FALSE if `words` has more than QUARANTINE_ENDS_KEPT ends. */
 gboolean quarantine_words_read (const sw_quarantine *words, QuarantineNews *news);
 
 #endif
