--- a/core/include/core/evacuations.h
+++ b/core/include/core/evacuations.h
@@ -1,29 +1,29 @@
 /*
- * Which data halls are evacuated: their targets take nothing new until the hall is taken
- * back.
+ * The set of evacuated data halls. Targets in an evacuated hall get no new requests until
+ * the hall is taken back.
  *
- * The whole set is one value, as new as the moment at which the store was read: its era,
- * then its revision. The newer of two readings replaces the older, wherever it comes
- * from, so that news may come late, twice, or from a node that has heard less, and
- * nothing goes back.
+ * The set is a last-writer-wins register. Its version is the era of the store and then
+ * the revision at which the store was read. Only a newer version replaces the set,
+ * whichever node it comes from, so updates may be delayed, duplicated or reordered.
  */
 #ifndef CORE_EVACUATIONS_H
 #define CORE_EVACUATIONS_H
 
 #include <glib.h>
 
-/* As many halls as one message between nodes names. */
+/* Maximum number of halls in one message between nodes (SW_EVACUATED_MAX). */
 #define EVACUATIONS_MAX 16u
 
 typedef struct Evacuations Evacuations;
 
-/* Nothing is evacuated, and nothing has been read. */
+/* Creates an empty set with version 0. */
 Evacuations *evacuations_create (void);
 void evacuations_destroy (Evacuations *evacuations);
 
 /*
- * A reading: `halls` of char *, all that are evacuated. Of more than EVACUATIONS_MAX the
- * first by name are taken, by all nodes alike. TRUE when the set has changed.
+ * Replaces the set by `halls` (of char *, copied) if the version is newer. Of more than
+ * EVACUATIONS_MAX halls only the first by name are kept, the same ones on all nodes.
+ * Returns whether the set has changed.
  */
 gboolean evacuations_take (Evacuations *evacuations,
                            guint64 era,
@@ -31,9 +31,9 @@
                            const GPtrArray *halls);
 
 gboolean evacuations_has (const Evacuations *evacuations, const char *hall);
-/* Of char *, by name; borrowed until the next reading. */
+/* Returns the halls (char *) sorted by name; valid until the set is replaced. */
 const GPtrArray *evacuations_halls (const Evacuations *evacuations);
-/* Of the newest reading; 0 for none. */
+/* The version of the set; 0 if the store was never read. */
 guint64 evacuations_era (const Evacuations *evacuations);
 guint64 evacuations_revision (const Evacuations *evacuations);
 
--- a/core/include/core/plan.h
+++ b/core/include/core/plan.h
@@ -1,6 +1,6 @@
 /*
- * Intents and plans: an operator says what is wanted, a plan says what that would
- * change, and nothing changes before the plan is confirmed.
+ * Plans: an operator submits an intent, and the plan lists what it would change. The
+ * configuration changes only when the operator confirms the plan.
  */
 #ifndef CORE_PLAN_H
 #define CORE_PLAN_H
@@ -9,12 +9,14 @@
 
 typedef struct Plan Plan;
 
-/* Whether a target is healthy now, by the names in the running configuration. */
+/* Returns whether a target is healthy now. Called with names from the running
+   configuration and from the plan; must return TRUE for unknown targets. */
 typedef gboolean (*PlanHealthy) (const char *service, const char *target, gpointer data);
 
 /*
- * Works an intent out against `base`. NULL, with faults noted by JSON path, when the
- * intent is not valid. The id depends on the base generation and the result alone.
+ * Applies the intent, a JSON text, to `base`. Returns NULL and adds faults with their
+ * JSON paths if the intent is not valid. The plan's id depends only on the base
+ * generation and the result.
  */
 Plan *plan_create (const Snapshot *base,
                    const char *intent,
@@ -26,14 +28,14 @@
 
 const char *plan_id (const Plan *plan);
 guint64 plan_base_generation (const Plan *plan);
-/* Whether the intent leaves everything as it is. */
+/* Whether the plan lists no changes. */
 gboolean plan_is_empty (const Plan *plan);
-/* Whether it takes the healthy capacity of a service below its floor. */
+/* Whether it takes the healthy slots of a service below its floor. */
 gboolean plan_is_refused (const Plan *plan);
-/* The parts to write, of ConfigPart, and the head that names them. */
+/* The changed parts (ConfigPart), to be written, and the head that lists all parts. */
 const GPtrArray *plan_parts (const Plan *plan);
 const ConfigHead *plan_head (const Plan *plan);
-/* The plan for an operator, as JSON. */
+/* Returns the plan as JSON, as operators get it; the caller frees it. */
 char *plan_text (const Plan *plan);
 
 #endif
--- a/core/include/core/settings.h
+++ b/core/include/core/settings.h
@@ -1,5 +1,6 @@
 /*
- * The settings of one node, read from JSON and checked whole before use.
+ * The settings of one node, read from JSON. A single fault rejects the whole text; all
+ * faults are reported.
  */
 #ifndef CORE_SETTINGS_H
 #define CORE_SETTINGS_H
@@ -7,7 +8,7 @@
 #include <core/allowance.h>
 #include <core/config.h>
 
-/* One who may change the configuration. */
+/* An operator, who may change the configuration. */
 typedef struct
 {
   char *name;
@@ -22,57 +23,57 @@
   LOG_DEBUG
 } LogThreshold;
 
-/* Where configuration and members come from, and which HTTP headers carry what. */
+/* The source of configuration and members, and the set of HTTP headers that is used. */
 typedef enum
 {
-  PLATFORM_OWN,    /* this project's object API (daemon/src/platform.h) */
-  PLATFORM_OBJECTS /* the store of metadata objects that platform/ speaks with */
+  PLATFORM_OWN,    /* this project's object API */
+  PLATFORM_OBJECTS /* the store of metadata objects that platform/ uses */
 } PlatformKind;
 
-/* What a service is given where the configuration does not say it. */
+/* Settings of services that the platform's configuration does not contain. */
 typedef struct
 {
-  double retry_ratio;     /* retries for each request, over the whole fleet */
-  double retry_burst;     /* and so many more; small fleets are given fractions */
-  gint64 retry_window_us; /* in any span of that length */
-  double floor_share;     /* of the slots, which ejections leave */
-  double cold_overage;    /* of the rate that a cold target bears, what it may get */
-  double cold_slack;      /* and so many more in a second */
+  double retry_ratio;     /* retries per request, over the whole fleet */
+  double retry_burst;     /* and this many more; may be fractional for small fleets */
+  gint64 retry_window_us; /* sliding window of both limits */
+  double floor_share;     /* share of the slots that ejections leave in service, 0 to 1 */
+  double cold_overage;    /* factor (>= 1) of the rate that a cold target can take */
+  double cold_slack;      /* and this many requests more per second */
   Detection detection;
-  guint queue; /* requests that may wait at one target */
+  guint queue; /* maximum number of requests that wait at one target */
 } ServiceDefaults;
 
 typedef struct
 {
-  char *node; /* the name of this VM */
-  char *hall; /* its data hall */
+  char *node; /* name of this VM */
+  char *hall; /* data hall of this VM */
   char *callers_address;
   char *operators_address;
   char *nodes_address;
-  char *advertise_address;    /* where other nodes find nodes_address */
-  char *readiness_address;    /* NULL for no such listener */
-  char *registration_address; /* where targets register themselves; NULL for none */
-  char *metrics_address;      /* counters without a token; NULL for none */
-  char *target_address;       /* of the target beside this node that registers itself */
-  char *target_service;       /* its service; both NULL for none */
+  char *advertise_address;    /* nodes_address as other nodes reach it */
+  char *readiness_address;    /* NULL for no listener */
+  char *registration_address; /* where targets register; NULL for no listener */
+  char *metrics_address;      /* metrics without a token; NULL for no listener */
+  char *target_address; /* of the local target, which registers itself; NULL for none */
+  char *target_service; /* service of the local target; NULL for none */
   char *platform_address;
   PlatformKind platform;
-  gboolean evacuations; /* the platform says which data halls are evacuated */
-  gboolean first_start; /* the whole fleet starts for the first time */
+  gboolean evacuations; /* read the evacuated data halls from the platform */
+  gboolean first_start; /* the whole fleet is starting for the first time */
   char **peers;         /* NULL-terminated addresses of other nodes */
   char *fleet_token;
-  guint64 fleet_seal;   /* a digest of the token, for messages that are to be short */
+  guint64 fleet_seal;   /* 64 bits of the token's digest, for short messages */
   GPtrArray *operators; /* of OperatorAccount */
   guint connections_max;
   gsize header_max;
   gsize body_max;
-  gsize held_max;  /* bytes that are held for all callers' requests together */
-  gint64 stall_us; /* who takes nothing of an answer for so long is let go */
-  gint64 read_us;
-  gint64 idle_us;   /* a caller's connection that rests longer is closed */
-  gint64 stop_us;   /* a planned stop takes no longer */
-  gint64 yield_us;  /* from here on it may give up what is left; at most stop_us */
-  gint64 linger_us; /* after SIGTERM, callers are served on for so long */
+  gsize held_max;   /* bytes buffered for all callers' requests together */
+  gint64 stall_us;  /* timeout for callers that read nothing of an answer */
+  gint64 read_us;   /* timeout for reading a whole request */
+  gint64 idle_us;   /* timeout for connections without a request */
+  gint64 stop_us;   /* longest duration of a planned stop */
+  gint64 yield_us;  /* time after which it may cut running requests; <= stop_us */
+  gint64 linger_us; /* time after SIGTERM in which callers are still served */
   gint64 fence_window_us;
   guint fence_entries_max;
   gsize fence_answers_max;
@@ -81,14 +82,15 @@
   LogThreshold log;
 } Settings;
 
-/* NULL, with faults noted, when a setting is missing, unknown or wrong. */
+/* Returns NULL and adds faults if a setting is missing, unknown or invalid. */
 Settings *settings_parse (const char *text, gssize len, JsonFaults *faults);
 void settings_destroy (Settings *settings);
 
-/* The operator whose token this is, compared in constant time; NULL for none. */
+/* Returns the name of the operator with this token, or NULL. The comparison of tokens is
+   constant-time. */
 const char *settings_operator (const Settings *settings, const char *token);
 
-/* Whether two secrets are equal, in a time that depends on lengths alone. */
+/* Returns whether two secrets are equal, in a time that depends only on their lengths. */
 gboolean settings_secret_equal (const char *a, const char *b);
 
 #endif
