--- a/core/src/config/account.c
+++ b/core/src/config/account.c
@@ -8,7 +8,7 @@
 #define DIGEST_HEX (2 * CONFIG_KEY_DIGEST)
 #define DIGEST_BASE64 44u
 #define HEX_DIGITS "0123456789abcdef"
-/* More requests a second, or at once, than a fleet of 1,200 VMs can take. */
+/* Limit of rate and burst; a fleet of 1,200 VMs cannot take so many requests. */
 #define ALLOWANCE_MAX 1e9
 #define TENANT_DEFAULT "default"
 
@@ -26,7 +26,7 @@
       (guint)json_view_int (view, "priority", 0, CONFIG_ACCOUNT_PRIORITIES - 1, 0);
   if (!names_valid (account->tenant))
     json_faults_add (json_view_faults (view), json_view_path (view),
-                     "\"tenant\" must be a name");
+                     "\"tenant\" must be a valid name");
   return account;
 }
 
@@ -94,7 +94,7 @@
   return key;
 }
 
-/* In a part a digest stands in base 64, which takes two thirds of the bytes. */
+/* Parts hold digests in base64, which takes two thirds of the bytes of hexadecimal. */
 AccessKey *
 access_key_read (const char *text, const char *path, JsonFaults *faults)
 {
@@ -112,7 +112,7 @@
       key->account = g_ref_string_new_intern (text + DIGEST_BASE64 + 1);
     }
   if (!key)
-    json_faults_add (faults, path, "is no digest of a key with its account");
+    json_faults_add (faults, path, "an access key must have the form \"DIGEST ACCOUNT\"");
   return key;
 }
 
@@ -147,8 +147,8 @@
   g_ptr_array_sort (keys, compare_keys);
 }
 
-/* Digests are spread evenly, so that a digest's place can be told from its first bytes,
-   to within the root of how many there are. */
+/* Estimates the index of a digest from its first four bytes. SHA-256 digests are evenly
+   distributed, so the error is about the square root of the number of keys. */
 static guint
 guess (const GPtrArray *keys, const guint8 *digest)
 {
@@ -165,7 +165,8 @@
                  CONFIG_KEY_DIGEST);
 }
 
-/* Widens what is looked at round the guess until the digest is in it, and halves it. */
+/* Interpolation search: widens a range around the estimated index, in steps that double,
+   until the digest must be in it, and then bisects the range. */
 gint
 access_keys_find (const GPtrArray *keys, const guint8 *digest)
 {
--- a/core/src/config/draft.c
+++ b/core/src/config/draft.c
@@ -5,7 +5,7 @@
 struct ConfigDraft
 {
   GPtrArray *services; /* of Service */
-  GHashTable *shards;  /* key → GPtrArray of what the shard holds */
+  GHashTable *shards;  /* key → GPtrArray of Route, Account or AccessKey */
 };
 
 ConfigDraft *
@@ -29,7 +29,7 @@
   g_free (draft);
 }
 
-/* The shard of that key, which is taken over. */
+/* Returns the shard with that key, which is added if needed. Takes ownership of `key`. */
 static GPtrArray *
 shard_of (ConfigDraft *draft, char *key)
 {
--- a/core/src/config/evacuations.c
+++ b/core/src/config/evacuations.c
@@ -33,7 +33,7 @@
   return strcmp (*(char *const *)a, *(char *const *)b);
 }
 
-/* The names in their order, each once, and no more than fit. */
+/* Returns a sorted copy without duplicates, limited to EVACUATIONS_MAX names. */
 static GPtrArray *
 sorted_copy (const GPtrArray *halls)
 {
--- a/core/src/config/head.c
+++ b/core/src/config/head.c
@@ -3,7 +3,8 @@
 #include <string.h>
 #include <core/json-write.h>
 
-/* A lost answer is asked after within minutes: ten a minute for a quarter of an hour. */
+/* An operator whose confirmation got no answer repeats it within minutes, and it is then
+   recognised by the plan's id. 150 plans cover 15 minutes at ten plans a minute. */
 #define PLANS_KEPT 150u
 #define PLAN_ID_MAX 64
 #define DIGEST_MAX 64
@@ -46,7 +47,7 @@
       digest = json_view_required (item, "digest", DIGEST_MAX);
       if (!g_hash_table_insert (head->parts, g_strdup (key), g_strdup (digest)))
         json_faults_add (json_view_faults (view), json_view_path (item),
-                         "%s stands twice", key);
+                         "part %s is listed more than once", key);
       json_view_close (item);
     }
 }
--- a/core/src/config/intent-accounts.c
+++ b/core/src/config/intent-accounts.c
@@ -4,7 +4,7 @@
 
 #include <core/names.h>
 
-/* So many accounts' keys are looked for one by one. */
+/* After this many scans for a single account's keys, all keys are indexed by account. */
 #define LOOKED_FOR_MAX 64u
 
 static gboolean
@@ -32,8 +32,10 @@
   g_array_append_val (digests, key->digest);
 }
 
-/* Notes the digests that an account of the base holds, or all with NULL: a shard is found
-   by the digest, and not by the account. */
+/*
+ * Adds the key digests of an account in the base to `holdings`, or those of all accounts
+ * if `account` is NULL. The scan covers every shard, because keys are sharded by digest.
+ */
 static void
 note_holdings (Intent *intent, const char *account)
 {
@@ -46,15 +48,18 @@
         {
           const AccessKey *key = g_ptr_array_index (config_part_keys (part), j);
 
-          /* Accounts' names are interned: equal ones are the same text. */
+          /* Account ids are interned, so equal ids have the same address. */
           if (!account || key->account == account)
             note_holding (intent, key);
         }
     }
 }
 
-/* A look through 88,000 keys takes a millisecond, a table of them 150: for a few accounts
-   each is looked for, for many there is a table. */
+/*
+ * Returns the digests of an account's keys in the base, or NULL if it has none. A scan of
+ * 88,000 keys takes 1 ms and indexing all of them takes 150 ms, so the index is built
+ * only after LOOKED_FOR_MAX scans.
+ */
 static const GArray *
 held_by (Intent *intent, const char *account)
 {
@@ -109,14 +114,15 @@
   if (!key)
     {
       json_faults_add (intent->faults, path,
-                       "a key's digest must be 64 lower-case hexadecimal digits");
+                       "an access key must be given as its SHA-256 digest, 64 "
+                       "lower-case hexadecimal digits");
       return;
     }
   name = config_key_shard (key->digest);
   g_ptr_array_add (intent_shard (intent, intent->keys, name), key);
 }
 
-/* An account's keys are given by their digests, all of them: those left out go. */
+/* Replaces all keys of an account by those that the intent lists. */
 static void
 apply_keys (Intent *intent, JsonView *item, const char *account)
 {
@@ -135,8 +141,8 @@
 }
 
 /*
- * Two accounts of an intent with a key in common, or two of the same name, are faults of
- * the parts that come of it.
+ * Duplicate account ids, and keys that two accounts share, are not checked here:
+ * config_part_parse reports them for the resulting parts.
  */
 static void
 apply_account (Intent *intent, JsonView *item)
@@ -159,10 +165,10 @@
   if (remove_account (intent_shard (intent, intent->accounts, key), id))
     remove_keys_of (intent, id);
   else
-    json_faults_add (intent->faults, "$.remove_accounts", "no account \"%s\"", id);
+    json_faults_add (intent->faults, "$.remove_accounts", "no account named \"%s\"", id);
 }
 
-/* What is removed goes first, so that its keys can be passed on to another account. */
+/* Accounts are removed first, so that their keys can be given to another account. */
 void
 intent_apply_accounts (Intent *intent)
 {
--- a/core/src/config/intent.c
+++ b/core/src/config/intent.c
@@ -38,7 +38,7 @@
       service = service_read (item);
       if (g_hash_table_contains (intent->services, service->name))
         json_faults_add (intent->faults, json_view_path (item),
-                         "service \"%s\" stands twice", service->name);
+                         "service \"%s\" is listed more than once", service->name);
       g_hash_table_insert (intent->services, g_strdup (service->name), service);
       json_view_close (item);
     }
@@ -49,13 +49,14 @@
           json_view_array_string (intent->view, "remove_services", i, NAME_MAX_LEN);
 
       if (name && !snapshot_service (intent->base, name))
-        json_faults_add (intent->faults, "$.remove_services", "no service \"%s\"", name);
+        json_faults_add (intent->faults, "$.remove_services", "no service named \"%s\"",
+                         name);
       else if (name)
         g_hash_table_insert (intent->services, g_strdup (name), NULL);
     }
 }
 
-/* The service that holds a target, as a copy that may be changed; NULL when none does. */
+/* Returns a modifiable copy of the service that has the target; NULL if none has it. */
 static Service *
 service_of_target (Intent *intent, const char *target)
 {
@@ -96,14 +97,14 @@
       if (!service)
         {
           if (name)
-            json_faults_add (intent->faults, path, "no target \"%s\"", name);
+            json_faults_add (intent->faults, path, "no target named \"%s\"", name);
           continue;
         }
       ((Target *)service_target (service, name))->state = state;
     }
 }
 
-/* All targets of a data hall that the base names. */
+/* Sets the state of all targets of a data hall in the base. Returns their number. */
 static guint
 set_hall (Intent *intent, const char *hall, TargetState state)
 {
@@ -141,7 +142,7 @@
       g_autofree char *path = g_strdup_printf ("$.%s[%u]", key, i);
 
       if (hall && set_hall (intent, hall, state) == 0)
-        json_faults_add (intent->faults, path, "no target in a hall \"%s\"", hall);
+        json_faults_add (intent->faults, path, "no target is in data hall \"%s\"", hall);
     }
 }
 
@@ -153,7 +154,6 @@
   return config_part_keys (part) ? config_part_keys (part) : config_part_accounts (part);
 }
 
-/* A shard written and read back, so that it can be changed freely. */
 GPtrArray *
 intent_shard (Intent *intent, GHashTable *shards, const char *key)
 {
@@ -169,7 +169,7 @@
   part = snapshot_part (intent->base, key);
   if (!part)
     return shard;
-  /* Reading the text anew is the one way to a deep copy that cannot forget a member. */
+  /* Parsing the text again makes a deep copy that cannot miss a member. */
   copy = config_part_parse (key, config_part_text (part), intent->faults);
   if (!copy)
     return shard;
@@ -207,7 +207,7 @@
 
   if (touched ? changed != NULL : snapshot_service (intent->base, route->service) != NULL)
     return;
-  json_faults_add (intent->faults, path, "route \"%s%s\" names no service: \"%s\"",
+  json_faults_add (intent->faults, path, "route \"%s%s\" names unknown service \"%s\"",
                    route->host, route->prefix, route->service);
 }
 
@@ -254,13 +254,13 @@
       key = config_route_shard (host, prefix);
       if (!remove_routes_at (intent_shard (intent, intent->routes, key), host, prefix,
                              G_MAXUINT))
-        json_faults_add (intent->faults, json_view_path (item), "no route \"%s%s\"", host,
-                         prefix);
+        json_faults_add (intent->faults, json_view_path (item), "no route at \"%s%s\"",
+                         host, prefix);
       json_view_close (item);
     }
 }
 
-/* Target names are the fleet's: two services must not share one. */
+/* Target names must be unique in the whole fleet, not only within a service. */
 static void
 check_target_names (Intent *intent)
 {
@@ -292,14 +292,14 @@
 
           if (owner && strcmp (owner, service->name) != 0)
             json_faults_add (intent->faults, "$.services",
-                             "target \"%s\" stands in \"%s\" and in \"%s\"", target->name,
-                             owner, service->name);
+                             "target \"%s\" is listed in both \"%s\" and \"%s\"",
+                             target->name, owner, service->name);
           g_hash_table_insert (owners, target->name, service->name);
         }
     }
 }
 
-/* A service that goes must leave no route behind that names it. */
+/* Reports routes of the resulting configuration whose service was removed. */
 static void
 check_removed_services (Intent *intent)
 {
--- a/core/src/config/part.c
+++ b/core/src/config/part.c
@@ -10,7 +10,7 @@
   char *key;
   char *digest;
   GBytes *text;
-  GBytes *packed; /* NULL until it is asked for */
+  GBytes *packed; /* compressed text; NULL until config_part_packed is called */
   Service *service;
   GPtrArray *routes;
   GPtrArray *accounts;
@@ -31,7 +31,8 @@
   return g_strdup_printf ("accounts/%02x", g_str_hash (id) % CONFIG_ACCOUNT_SHARDS);
 }
 
-/* By the last byte: the first ones tell a digest's place within its shard. */
+/* Shards are selected by the last byte, because access_keys_find interpolates by the
+   first four. */
 guint
 config_key_shard_place (const guint8 *digest)
 {
@@ -54,8 +55,9 @@
 
       if (route_compare (before, route->host, route->prefix) == 0 &&
           (before->methods & route->methods))
-        json_faults_add (faults, "$.routes", "two routes share a method at \"%s%s\"",
-                         route->host, route->prefix);
+        json_faults_add (faults, "$.routes",
+                         "two routes at \"%s%s\" have a method in common", route->host,
+                         route->prefix);
     }
 }
 
@@ -82,7 +84,8 @@
       const AccessKey *key = g_ptr_array_index (keys, i);
 
       if (memcmp (before->digest, key->digest, CONFIG_KEY_DIGEST) == 0)
-        json_faults_add (faults, "$.keys", "\"%s\" and \"%s\" hold the same key",
+        json_faults_add (faults, "$.keys",
+                         "accounts \"%s\" and \"%s\" have the same access key",
                          before->account, key->account);
     }
 }
@@ -134,7 +137,7 @@
     {
       part->service = service_read (view);
       if (strcmp (part->key + strlen ("service/"), part->service->name) != 0)
-        json_faults_add (faults, "$.name", "differs from the part's key %s", part->key);
+        json_faults_add (faults, "$.name", "does not match the part's key %s", part->key);
       return;
     }
   if (g_str_has_prefix (part->key, "keys/"))
@@ -149,7 +152,7 @@
     part->accounts = g_ptr_array_new_with_free_func ((GDestroyNotify)account_free);
   else
     {
-      json_faults_add (faults, "$", "%s is no key of a part", part->key);
+      json_faults_add (faults, "$", "%s is not a valid part key", part->key);
       return;
     }
   read_shard (part, view);
@@ -187,7 +190,7 @@
   return NULL;
 }
 
-/* A part without its things, of a text that says them. */
+/* Creates a part without parsed contents. Takes ownership of `text`. */
 static ConfigPart *
 part_of_text (const char *key, char *text)
 {
@@ -284,7 +287,7 @@
 
   if (!text)
     {
-      json_faults_add (faults, "$", "does not unpack");
+      json_faults_add (faults, "$", "the compressed text is corrupt or too large");
       return NULL;
     }
   part = config_part_parse (key, text, faults);
--- a/core/src/config/plan.c
+++ b/core/src/config/plan.c
@@ -7,7 +7,7 @@
 
 #include "intent.h"
 
-/* What a plan does to one service's capacity. */
+/* The effect of a plan on the capacity of one service, in slots. */
 typedef struct
 {
   char *service;
@@ -49,8 +49,11 @@
 }
 
 /*
- * A target that is new has shown nothing yet and counts as healthy: an operator who
- * replaces one by another must not be told that the service loses capacity.
+ * Compares the healthy slots of a service before and after the plan with its floor. The
+ * plan is refused if the service ends below its floor and the plan is the cause: it adds
+ * the service, removes healthy slots or raises the floor. New targets must count as
+ * healthy, although nothing is known of them yet: replacing a target must not be reported
+ * as a loss of capacity.
  */
 static void
 weigh_service (Plan *plan,
@@ -95,8 +98,9 @@
       if (!old)
         note_change (plan, "service %s: adds target %s", after->name, target->name);
       else if (old->state != target->state)
-        note_change (plan, "service %s: target %s goes from %s to %s", after->name,
-                     target->name, states[old->state], states[target->state]);
+        note_change (plan, "service %s: state of target %s changes from %s to %s",
+                     after->name, target->name, states[old->state],
+                     states[target->state]);
       else if (strcmp (old->address, target->address) != 0 ||
                old->slots != target->slots || strcmp (old->vm, target->vm) != 0)
         note_change (plan, "service %s: changes target %s", after->name, target->name);
@@ -122,13 +126,13 @@
       return;
     }
   if (before->floor_slots != after->floor_slots)
-    note_change (plan, "service %s: floor goes from %u to %u slots", after->name,
+    note_change (plan, "service %s: floor changes from %u to %u slots", after->name,
                  before->floor_slots, after->floor_slots);
   if (before->detection != after->detection || before->queue != after->queue ||
       before->retry_percent != after->retry_percent ||
       before->answer_max != after->answer_max ||
       strcmp (before->tenant, after->tenant) != 0)
-    note_change (plan, "service %s: changes its settings", after->name);
+    note_change (plan, "service %s: changes settings", after->name);
   describe_targets (plan, before, after);
 }
 
@@ -156,7 +160,7 @@
   return NULL;
 }
 
-/* New accounts are told by their number; what changes for one that is there, by name. */
+/* Lists changes of existing accounts; describe_shard reports new ones by the count. */
 static void
 describe_accounts (Plan *plan, const ConfigPart *before, const ConfigPart *after)
 {
@@ -172,10 +176,11 @@
       if (old->per_s != account->per_s || old->burst != account->burst)
         note_change (
             plan,
-            "account %s: allowance goes from %g a second and %g at once to %g and %g",
+            "account %s: allowance changes from %g requests/s with a burst of %g to %g "
+            "requests/s with a burst of %g",
             account->id, old->per_s, old->burst, account->per_s, account->burst);
       if (old->priority != account->priority)
-        note_change (plan, "account %s: priority goes from %u to %u", account->id,
+        note_change (plan, "account %s: priority changes from %u to %u", account->id,
                      old->priority, account->priority);
     }
 }
@@ -188,7 +193,7 @@
                      : config_part_keys (part) ? "keys"
                                                : "accounts";
 
-  note_change (plan, "%s: from %u to %u %s", config_part_key (part),
+  note_change (plan, "%s: changes from %u to %u %s", config_part_key (part),
                before ? count_of (before) : 0, count_of (part), area);
   if (config_part_accounts (part))
     describe_accounts (plan, before, part);
--- a/core/src/config/route.c
+++ b/core/src/config/route.c
@@ -12,15 +12,15 @@
 #define ATTEMPTS_DEFAULT 3
 #define ATTEMPTS_MAX 16
 #define WEIGHT_MAX 1000000
-/* "*" among the methods of a route: any method, those not known here too. */
+/* In the list of a route's methods: all methods, including those not in method_names. */
 #define METHOD_ANY "*"
-/* The bit of a method that is not known here; only METHOD_ANY covers it. */
+/* Shared by all methods that are not in method_names; only METHOD_ANY includes it. */
 #define METHOD_BIT_OTHER (1u << 31)
 
 static const char *const method_names[] = { "GET",    "HEAD",  "POST",    "PUT",
                                             "DELETE", "PATCH", "OPTIONS", NULL };
 
-/* Methods that HTTP itself calls safe to repeat (RFC 9110, section 9.2.1). */
+/* Safe methods (RFC 9110, section 9.2.1), which may be repeated. */
 static const char *const safe_names[] = { "GET", "HEAD", "OPTIONS", NULL };
 
 char *
@@ -62,7 +62,7 @@
         return ROUTE_METHODS_ANY;
       if (route_method_bit (name) == METHOD_BIT_OTHER)
         json_faults_add (json_view_faults (view), json_view_path (view),
-                         "\"%s\" is no method known here", name);
+                         "method \"%s\" is not supported", name);
       bits |= route_method_bit (name);
     }
   if (bits)
@@ -100,7 +100,7 @@
   g_ptr_array_sort (routes, compare_routes);
 }
 
-/* "/pay/" is "/pay"; "/" stays. */
+/* Removes trailing slashes: "/pay/" becomes "/pay"; "/" is kept. */
 static void
 trim_slash (char *prefix)
 {
@@ -116,7 +116,7 @@
   g_free (((RouteShare *)data)->service);
 }
 
-/* A route that is shared out names its services in "split", each with a weight. */
+/* Reads "split", a list of services with weights, or "service" if there is no split. */
 static void
 read_split (Route *route, JsonView *view)
 {
@@ -154,7 +154,7 @@
   route->class = g_strdup (json_view_string (view, "class", NAME_MAX_LEN, "default"));
   route->methods = read_methods (view);
   route->priority = (guint)json_view_int (view, "priority", 0, CONFIG_PRIORITIES - 1, 1);
-  /* What nobody marked is taken as unrepeatable unless every method is safe. */
+  /* Without "repeatable", a route is repeatable only if all its methods are safe. */
   route->repeatable = json_view_bool (view, "repeatable", all_safe (route->methods));
   route->account = json_view_bool (view, "account", FALSE);
   route->deadline_us = 1000 * json_view_int (view, "deadline_ms", DEADLINE_MIN_MS,
@@ -166,10 +166,10 @@
   trim_slash (route->prefix);
   if (*route->prefix && *route->prefix != '/')
     json_faults_add (json_view_faults (view), json_view_path (view),
-                     "the prefix must begin with '/'");
+                     "\"prefix\" must begin with '/'");
   if (!names_valid (route->class))
     json_faults_add (json_view_faults (view), json_view_path (view),
-                     "the class must be a name");
+                     "\"class\" must be a valid name");
   return route;
 }
 
--- a/core/src/config/service.c
+++ b/core/src/config/service.c
@@ -8,13 +8,14 @@
 #define SLOTS_MAX 100000
 #define ANSWER_MAX (8 * 1024 * 1024)
 #define RETRY_DEFAULT 20
-/* More than any target is given, cold or not. */
+/* Limit of cold_per_s and cold_burst, more than any target gets, cold or not. */
 #define COLD_PER_S_MAX 1e6
 
 static const char *const detection_names[] = { "off", "careful", "quick", "strict",
                                                NULL };
 static const char *const state_names[] = { "serving", "leaving", NULL };
-/* Evacuated is what a data hall is, and no word of a configuration. */
+/* By TargetState. TARGET_EVACUATED is never written: it follows from the state of the
+   data hall and is not part of the configuration. */
 static const char *const written_states[] = { "serving", "leaving", "serving" };
 
 void
@@ -45,7 +46,7 @@
                      "\"slots\" is missing");
   if (target->connections < target->slots)
     json_faults_add (json_view_faults (view), json_view_path (view),
-                     "has fewer connections than slots");
+                     "\"connections\" must not be less than \"slots\"");
   return target;
 }
 
@@ -89,7 +90,7 @@
 
       if (*target->name && strcmp (before->name, target->name) == 0)
         json_faults_add (json_view_faults (view), json_view_path (view),
-                         "two targets are named \"%s\"", target->name);
+                         "target \"%s\" is listed more than once", target->name);
     }
 }
 
@@ -128,10 +129,10 @@
   read_targets (service, view);
   if (service->dynamic && service->targets->len > 0)
     json_faults_add (json_view_faults (view), json_view_path (view),
-                     "a dynamic service cannot name targets");
+                     "a dynamic service must not list targets");
   if (service->floor_slots > all_slots (service))
     json_faults_add (json_view_faults (view), json_view_path (view),
-                     "the floor of %u slots is over the capacity of %u",
+                     "the floor of %u slots is over the capacity of %u slots",
                      service->floor_slots, all_slots (service));
   return service;
 }
--- a/core/src/config/settings.c
+++ b/core/src/config/settings.c
@@ -10,26 +10,27 @@
 #define MB (1024 * 1024)
 
 /*
- * A planned stop is over so long before the process would be killed: the last answers
- * take 0.2 s to go out, and more on slow VMs. No longer, for a supervisor may count the
- * grace from a moment up to 0.7 s after the signal came, and what it sees cut before the
- * last sixth of it was cut without need.
+ * A planned stop ends this long before the supervisor kills the process: the last answers
+ * take 0.2 s to be sent, and more on slow VMs. The margin is at most 0.7 s, because a
+ * supervisor may start counting the grace period up to 0.7 s after the signal arrived,
+ * and requests that it sees cut before the last sixth of the period were cut needlessly.
  */
 #define STOP_MARGIN_DIVISOR 20
 #define STOP_MARGIN_MIN_US 300000
 #define STOP_MARGIN_MAX_US 700000
-/* Work that still runs may be cut in the last sixth of the grace, and not before. */
+/* Running requests may be cut in the last sixth of the grace period, but not earlier. */
 #define STOP_YIELD_PARTS 6
 #define GRACE_MAX_S 3600.0
-/* The users' span over which retries are counted, and the longest that is taken. */
+/* Window over which retries are counted, as users define it, and the longest allowed. */
 #define RETRY_WINDOW_DEFAULT_S 10.0
 #define RETRY_WINDOW_MAX_S 3600.0
-/* More retries for each request than anybody means to allow. */
-/* Much more than its rate no cold target is given. */
+/* The upper limits of cold_overage, a factor of the cold rate, and of retries per request
+   are far above any useful value. */
 #define COLD_OVERAGE_MAX 100
 #define RETRY_RATIO_MAX 100.0
 
-/* The users' span over which an account's requests are counted, and what is taken. */
+/* Window over which an account's requests are counted, as users define it, and the
+   allowed range. */
 #define ALLOWANCE_WINDOW_DEFAULT_S 5.0
 #define ALLOWANCE_WINDOW_MIN_S 0.1
 #define ALLOWANCE_WINDOW_MAX_S 3600.0
@@ -79,7 +80,7 @@
   json_view_close (target);
 }
 
-/* An object member, or an empty object under its path where it is missing. */
+/* Returns an object member, or an empty object with the same path if it is missing. */
 static JsonView *
 object_or_empty (JsonView *view, const char *key)
 {
@@ -116,7 +117,6 @@
   json_view_close (object);
 }
 
-/* How the allowances of client accounts are counted. */
 static void
 read_allowance (Settings *settings, JsonView *view)
 {
@@ -138,7 +138,8 @@
   return CLAMP (grace_us / STOP_MARGIN_DIVISOR, STOP_MARGIN_MIN_US, STOP_MARGIN_MAX_US);
 }
 
-/* How long a planned stop may take: as said, or what a supervisor's patience leaves. */
+/* Reads how long a planned stop may take: "stop_ms", or if "grace_s" is given, the
+   supervisor's grace period less a margin. */
 static void
 read_stop (Settings *settings, JsonView *limits)
 {
@@ -151,7 +152,7 @@
   settings->yield_us =
       grace_us > 0 ? MIN (settings->stop_us, grace_us - grace_us / STOP_YIELD_PARTS)
                    : stop_us;
-  /* Requests taken at the end of the lingering need time to be answered. */
+  /* Requests accepted at the end of the linger period need time to be answered. */
   settings->linger_us = MIN (settings->linger_us, settings->stop_us / 2);
 }
 
@@ -246,7 +247,8 @@
   json_view_close (limits);
 }
 
-/* The first half of the token's digest: as hard to guess as a token of 8 bytes. */
+/* Returns the first 64 bits of the token's SHA-256 digest. They are as hard to find by
+   trial as a random token of 8 bytes. */
 static guint64
 seal_of (const char *token)
 {
@@ -324,7 +326,7 @@
   gsize len = strlen (a);
   guint8 differs = len != strlen (b);
 
-  /* With different lengths `a` is compared with itself, for the same time. */
+  /* For different lengths `a` is compared with itself, which takes the same time. */
   if (differs)
     b = a;
   for (gsize i = 0; i < len; i++)
--- a/core/src/config/shard.c
+++ b/core/src/config/shard.c
@@ -6,7 +6,7 @@
 
 typedef struct
 {
-  const char *area; /* the part's key begins with it, and its text names it */
+  const char *area; /* prefix of the part's key and name of the JSON array */
   GDestroyNotify free;
   void (*sort) (GPtrArray *things);
   void (*write) (gconstpointer thing, GString *text);
@@ -15,7 +15,7 @@
 static void
 write_route (gconstpointer thing, GString *text)
 {
-  /* Between two of them; what they are written with puts commas between members only. */
+  /* The json_put_* functions add commas between the members of an object only. */
   if (text->str[text->len - 1] != '[')
     g_string_append_c (text, ',');
   route_write (thing, text);
--- a/core/src/config/snapshot.c
+++ b/core/src/config/snapshot.c
@@ -6,10 +6,10 @@
 {
   gatomicrefcount refs;
   ConfigHead *head;
-  GHashTable *by_key;    /* key → ConfigPart, which it owns */
+  GHashTable *by_key;    /* key → ConfigPart, owned */
   GHashTable *by_digest; /* digest → ConfigPart, borrowed */
-  GPtrArray *services;   /* of Service, by name, borrowed from parts and `composed` */
-  GHashTable *composed;  /* name → Service, which it owns: those with targets put in */
+  GPtrArray *services;   /* of Service, by name; borrowed from parts and `composed` */
+  GHashTable *composed;  /* name → Service, owned: copies with their own target lists */
   ConfigPart *route_parts[CONFIG_SHARDS];
   ConfigPart *account_parts[CONFIG_ACCOUNT_SHARDS];
   ConfigPart *key_parts[CONFIG_ACCOUNT_SHARDS];
@@ -89,7 +89,11 @@
     }
 }
 
-/* Puts the targets that registered themselves into a dynamic service. */
+/*
+ * Replaces a service by a copy: with its registered targets if it is dynamic, and with
+ * the targets of evacuated data halls marked. If no hall is evacuated, a service that is
+ * not dynamic needs no copy.
+ */
 static void
 compose_service (Snapshot *snapshot,
                  guint place,
@@ -249,7 +253,7 @@
   return FALSE;
 }
 
-/* The places of the first route at or after (host, prefix) in a sorted shard. */
+/* Returns the index of the first route that does not sort before (host, prefix). */
 static guint
 lower_bound (const GPtrArray *routes, const char *host, const char *prefix)
 {
@@ -303,7 +307,7 @@
       slash = strrchr (prefix, '/');
       if (route || !slash || strcmp (prefix, "/") == 0)
         return route;
-      /* "/" itself is the last prefix to try. */
+      /* The loop shortens the path by one segment at a time; "/" is the last prefix. */
       slash[slash == prefix ? 1 : 0] = '\0';
     }
 }
--- a/core/tests/test-config.c
+++ b/core/tests/test-config.c
@@ -112,16 +112,16 @@
       "{\"services\":[{\"name\":\"x\",\"tenant\":\"t\",\"detection\":\"magic\"}]}",
       "$.services[0].detection", "must be one of");
   expect_fault ("{\"routes\":[{\"prefix\":\"/z\",\"service\":\"none\"}]}", "$.routes[0]",
-                "names no service");
+                "names unknown service");
   expect_fault ("{\"routes\":[{\"prefix\":\"z\",\"service\":\"pay\"}]}", "$.routes[0]",
                 "must begin with '/'");
   expect_fault ("{\"drain\":[\"nobody\"]}", "$.drain[0]", "no target");
   expect_fault ("{\"remove_services\":[\"pay\"]}", "$.remove_services",
-                "names no service");
+                "names unknown service");
   expect_fault (
       "{\"services\":[{\"name\":\"x\",\"tenant\":\"t\",\"targets\":[{\"name\":\"a\","
       "\"vm\":\"v\",\"hall\":\"h\",\"address\":\"127.0.0.1:1\",\"slots\":1}]}]}",
-      "$.services", "stands in");
+      "$.services", "is listed in both");
   expect_fault (
       "{\"accounts\":[{\"id\":\"g\",\"tenant\":\"t\",\"keys_sha256\":[\"12\"]}]}",
       "$.accounts[0]", "64 lower-case");
