--- a/core/include/core/settings.h
+++ b/core/include/core/settings.h
@@ -26,7 +26,7 @@
 /* The source of configuration and members, and the set of HTTP headers that is used. */
 typedef enum
 {
-  PLATFORM_OWN,    /* this project's object API */
+  PLATFORM_OWN,    /* this project's object API (daemon/src/config/platform.h) */
   PLATFORM_OBJECTS /* the store of metadata objects that platform/ uses */
 } PlatformKind;
 
@@ -38,7 +38,7 @@
   gint64 retry_window_us; /* sliding window of both limits */
   double floor_share;     /* share of the slots that ejections leave in service, 0 to 1 */
   double cold_overage;    /* factor (>= 1) of the rate that a cold target can take */
-  double cold_slack;      /* and this many requests more per second */
+  double cold_slack;      /* and this many requests more in a second */
   Detection detection;
   guint queue; /* maximum number of requests that wait at one target */
 } ServiceDefaults;
--- a/core/src/config/account.c
+++ b/core/src/config/account.c
@@ -8,7 +8,7 @@
 #define DIGEST_HEX (2 * CONFIG_KEY_DIGEST)
 #define DIGEST_BASE64 44u
 #define HEX_DIGITS "0123456789abcdef"
-/* Limit of rate and burst; a fleet of 1,200 VMs cannot take so many requests. */
+/* Limit of rate and burst, more than a fleet of 1,200 VMs can serve. */
 #define ALLOWANCE_MAX 1e9
 #define TENANT_DEFAULT "default"
 
--- a/core/src/config/intent.c
+++ b/core/src/config/intent.c
@@ -56,7 +56,8 @@
     }
 }
 
-/* Returns a modifiable copy of the service that has the target; NULL if none has it. */
+/* Returns a modifiable copy of the service that has the target, owned by the intent; NULL
+   if no service has it. */
 static Service *
 service_of_target (Intent *intent, const char *target)
 {
