--- a/core/include/core/balancer.h
+++ b/core/include/core/balancer.h
@@ -74,7 +74,7 @@
   BalancerHalls halls;
   BalancerShedding shedding;
   const GPtrArray *tried; /* names of targets to leave out; may be NULL */
-} BalancerWish;
+} BalancerCriteria;
 
 typedef struct
 {
@@ -125,12 +125,13 @@
 void balancer_note_path (Balancer *balancer, const char *vm, gboolean answered);
 
 /* Chooses a target for one attempt. Only repeatable requests may be used for trials. */
-BalancerChoice
-balancer_choose (Balancer *balancer, const Service *service, const BalancerWish *wish);
+BalancerChoice balancer_choose (Balancer *balancer,
+                                const Service *service,
+                                const BalancerCriteria *criteria);
 
 /* Record the start and the end of an attempt at a target. */
-void balancer_begin (Balancer *balancer, const char *target);
-void balancer_end (Balancer *balancer, const char *target);
+void balancer_attempt_started (Balancer *balancer, const char *target);
+void balancer_attempt_ended (Balancer *balancer, const char *target);
 
 /* Returns the median failure rate of a service's targets, in failures per million, for
    a sidecar to compare its own targets with; 0 if fewer than two are known. */
--- a/core/include/core/dispatch.h
+++ b/core/include/core/dispatch.h
@@ -91,13 +91,13 @@
 
 /*
  * Hedging: a second attempt while the first is in flight. dispatch_may_hedge tells
- * whether one is allowed, dispatch_beside_sent records that it was sent, and
- * dispatch_beside_ended records the result of the attempt that ended first while the
+ * whether one is allowed, dispatch_hedge_sent records that it was sent, and
+ * dispatch_hedge_over records the result of the attempt that ended first while the
  * other continues. The result of the remaining attempt goes to dispatch_sent.
  */
 gboolean dispatch_may_hedge (const Dispatch *dispatch);
-void dispatch_beside_sent (Dispatch *dispatch);
-void dispatch_beside_ended (Dispatch *dispatch, DispatchReport report, Reason reason);
+void dispatch_hedge_sent (Dispatch *dispatch);
+void dispatch_hedge_over (Dispatch *dispatch, DispatchReport report, Reason reason);
 
 /* Whether the next target to see the request is the last one allowed. */
 gboolean dispatch_is_last_arrival (const Dispatch *dispatch);
--- a/core/include/core/fence.h
+++ b/core/include/core/fence.h
@@ -48,18 +48,19 @@
 
 typedef enum
 {
-  FENCE_NEW,         /* recorded as queued */
-  FENCE_KNOWN,       /* the attempt has an entry, whose state tells how far it is */
-  FENCE_INCARNATION, /* addressed to another incarnation, which alone knows its state */
-  FENCE_STALE,       /* reading too old: a copy may have run and its entry be deleted */
-  FENCE_FULL         /* table full: the attempt never ran and never will */
+  FENCE_NEW,               /* recorded as queued */
+  FENCE_KNOWN,             /* the attempt has an entry, whose state tells how far it is */
+  FENCE_WRONG_INCARNATION, /* addressed to another incarnation, which alone knows its
+                              state */
+  FENCE_STALE, /* reading too old: a copy may have run and its entry be deleted */
+  FENCE_FULL   /* table full: the attempt never ran and never will */
 } FenceSubmit;
 
 typedef enum
 {
   FENCE_NOT_RUN, /* proof that the attempt did not run and never will */
   FENCE_RUNNING,
-  FENCE_OVER,   /* the attempt ran; the entry may hold the answer */
+  FENCE_RAN,    /* the attempt ran; the entry may hold the answer */
   FENCE_UNKNOWN /* addressed to another incarnation, or the reading is too old */
 } FenceVerdict;
 
--- a/core/include/core/placement.h
+++ b/core/include/core/placement.h
@@ -32,21 +32,21 @@
   PLACEMENT_OTHER_FREE, /* a free slot in another hall */
   PLACEMENT_SHEDDING,   /* a target that sheds load although it has free slots */
   PLACEMENT_LAST_QUEUE, /* the shortest queue, until the deadline */
-  PLACEMENT_NOWHERE     /* no tries are left */
+  PLACEMENT_EXHAUSTED   /* no tries are left */
 } PlacementStep;
 
 /* Progress of one request. A zeroed value is the start. */
 typedef struct
 {
   PlacementStep step;
-  guint tried[PLACEMENT_NOWHERE]; /* refusals for load, by step */
-  guint strays;                   /* refusals for other reasons */
-  guint arrivals;                 /* the count when the steps last began */
+  guint tried[PLACEMENT_EXHAUSTED]; /* refusals for load, by step */
+  guint other_refusals;             /* refusals for other reasons */
+  guint arrivals;                   /* the count when the steps last began */
 } Placement;
 
 /*
  * Returns the step at which to choose the next target. It stays the same until
- * placement_pass is called or the step's tries are used up. `slack_us` is how long the
+ * placement_skip is called or the step's tries are used up. `slack_us` is how long the
  * request may wait and still be on time. `arrivals` is the number of attempts that a
  * target may have seen; when it rises, the steps begin again with the tries that are
  * left.
@@ -54,7 +54,7 @@
 PlacementStep placement_next (Placement *placement, gint64 slack_us, guint arrivals);
 
 /* Skips the current step, because it has no suitable target. */
-void placement_pass (Placement *placement);
+void placement_skip (Placement *placement);
 
 /* Records that the target chosen at the current step refused the request. */
 void placement_refused (Placement *placement, Reason reason);
--- a/core/include/core/retry.h
+++ b/core/include/core/retry.h
@@ -49,7 +49,7 @@
 gboolean retry_budget_withdraw (RetryBudget *budget);
 
 /* Counts one retry even if none is left, at the expense of later ones. */
-void retry_budget_borrow (RetryBudget *budget);
+void retry_budget_charge (RetryBudget *budget);
 
 /* Returns the pause before retry number `retry` (from 1): exponential backoff with full
    jitter, uniform between 0 and a bound that doubles from 5 ms up to 250 ms. */
--- a/core/include/core/split.h
+++ b/core/include/core/split.h
@@ -17,6 +17,6 @@
 const char *splitter_pick (Splitter *splitter, const Route *route);
 
 /* Discards the state of all routes; call it when the routes have changed. */
-void splitter_prune (Splitter *splitter);
+void splitter_reset (Splitter *splitter);
 
 #endif
--- a/core/include/core/warmup.h
+++ b/core/include/core/warmup.h
@@ -18,7 +18,7 @@
 
 typedef struct Warmup Warmup;
 
-/* The target is assumed to be cold until warmup_note. `clock` is borrowed. */
+/* The target is assumed to be cold until warmup_note_report. `clock` is borrowed. */
 Warmup *warmup_create (Clock *clock);
 void warmup_destroy (Warmup *warmup);
 
@@ -27,11 +27,11 @@
 void warmup_set_rate (Warmup *warmup, double per_s, double burst);
 
 /* Records a report of the target that it stays cold for `cold_us`; 0 means warm. */
-void warmup_note (Warmup *warmup, gint64 cold_us);
-/* Assumes the target to be cold until the next warmup_note. */
+void warmup_note_report (Warmup *warmup, gint64 cold_us);
+/* Assumes the target to be cold until the next warmup_note_report. */
 void warmup_assume_cold (Warmup *warmup);
 /* Whether starts are limited now. */
-gboolean warmup_is_on (const Warmup *warmup);
+gboolean warmup_is_limiting (const Warmup *warmup);
 
 /* Whether one more may start now. */
 gboolean warmup_allows (const Warmup *warmup);
--- a/core/src/request/admission-queue.c
+++ b/core/src/request/admission-queue.c
@@ -125,18 +125,18 @@
 /* Returns the time after which a request is not worth a slot: its latest start, or the
    moment when the rest of its deadline is shorter than the minimum service time. */
 static gint64
-expiry_us (const AdmissionOrder *order, gint64 least_us)
+expiry_us (const AdmissionOrder *order, gint64 min_service_us)
 {
-  gint64 expiry = order->deadline_us - least_us;
+  gint64 expiry = order->deadline_us - min_service_us;
 
   return order->start_by_us > 0 ? MIN (expiry, order->start_by_us) : expiry;
 }
 
 gpointer
-admission_queue_take_expired (AdmissionQueue *queue, gint64 now_us, gint64 least_us)
+admission_queue_take_expired (AdmissionQueue *queue, gint64 now_us, gint64 min_service_us)
 {
   for (guint i = 0; i < queue->waiting->len; i++)
-    if (expiry_us (&at (queue, i)->order, least_us) <= now_us)
+    if (expiry_us (&at (queue, i)->order, min_service_us) <= now_us)
       return take_at (queue, i);
   return NULL;
 }
--- a/core/src/request/admission-queue.h
+++ b/core/src/request/admission-queue.h
@@ -40,9 +40,10 @@
                                    gint64 now_us);
 
 /* Removes an item whose latest start has passed or whose deadline is less than
-   `least_us`, the minimum service time, away; NULL if there is none. */
-gpointer
-admission_queue_take_expired (AdmissionQueue *queue, gint64 now_us, gint64 least_us);
+   `min_service_us`, the minimum service time, away; NULL if there is none. */
+gpointer admission_queue_take_expired (AdmissionQueue *queue,
+                                       gint64 now_us,
+                                       gint64 min_service_us);
 
 /* Removes `item`; FALSE if it is not queued. */
 gboolean admission_queue_withdraw (AdmissionQueue *queue, gpointer item);
--- a/core/src/request/admission.c
+++ b/core/src/request/admission.c
@@ -2,16 +2,16 @@
 
 /* A new latency enters the running means of the recent and of the normal latency with the
    weight of one over these. */
-#define RECENT_SHARE 8
-#define NORMAL_SHARE 256
+#define RECENT_DIVISOR 8
+#define NORMAL_DIVISOR 256
 /* The limit falls while the recent latency is above this multiple of the normal one. */
 #define SLOW_FACTOR 2
 /* The limit stays at or above the number of slots divided by this. */
 #define LIMIT_FLOOR_DIVISOR 4
 /* Number of answers between two changes of the limit. */
 #define LIMIT_STEP_ANSWERS 8
-#define LEAST_PERCENT 70
-#define TOOK_DEFAULT_US (10 * MS_US)
+#define MIN_SERVICE_PERCENT 70
+#define SERVICE_TIME_DEFAULT_US (10 * MS_US)
 #define RETRY_AFTER_MIN_US (100 * MS_US)
 
 struct Admission
@@ -95,16 +95,16 @@
 static gint64
 took_us (const Admission *admission)
 {
-  return admission->recent_us ? admission->recent_us : TOOK_DEFAULT_US;
+  return admission->recent_us ? admission->recent_us : SERVICE_TIME_DEFAULT_US;
 }
 
 /* Returns the minimum service time; requests with less time left are not started. With
    the latency spread of the users' targets, three in four requests take longer than 70 %
    of the mean. */
 static gint64
-least_us (const Admission *admission)
+min_service_us (const Admission *admission)
 {
-  return admission->recent_us * LEAST_PERCENT / 100;
+  return admission->recent_us * MIN_SERVICE_PERCENT / 100;
 }
 
 /* Estimates how long a request with `ahead` others before it has to wait. */
@@ -193,7 +193,7 @@
 }
 
 static void
-adapt (Admission *admission)
+adapt_limit (Admission *admission)
 {
   guint floor = MAX (1, admission->slots / LIMIT_FLOOR_DIVISOR);
 
@@ -217,15 +217,15 @@
       admission->recent_us = MAX (took, 1);
       admission->normal_us = MAX (took, 1);
     }
-  admission->recent_us += (took - admission->recent_us) / RECENT_SHARE;
+  admission->recent_us += (took - admission->recent_us) / RECENT_DIVISOR;
   /* The normal latency rises slowly and falls quickly, so slow periods stand out. */
   if (took < admission->normal_us)
-    admission->normal_us += (took - admission->normal_us) / RECENT_SHARE;
+    admission->normal_us += (took - admission->normal_us) / RECENT_DIVISOR;
   else
-    admission->normal_us += (took - admission->normal_us) / NORMAL_SHARE;
+    admission->normal_us += (took - admission->normal_us) / NORMAL_DIVISOR;
   admission->normal_us = MAX (admission->normal_us, 1);
   if (admission->adaptive)
-    adapt (admission);
+    adapt_limit (admission);
 }
 
 gpointer
@@ -245,7 +245,7 @@
 admission_expired (Admission *admission)
 {
   return admission_queue_take_expired (admission->queue, clock_now (admission->clock),
-                                       least_us (admission));
+                                       min_service_us (admission));
 }
 
 gboolean
--- a/core/src/request/balancer-choose.c
+++ b/core/src/request/balancer-choose.c
@@ -16,7 +16,7 @@
 typedef struct
 {
   const Target *target;
-  View *view;
+  TargetView *view;
   gboolean local;
 } Candidate;
 
@@ -31,7 +31,7 @@
 
 /* Whether a trial of a sick target is due; if so, schedules the next one. */
 static gboolean
-trial_is_due (Balancer *balancer, const Target *target, View *view)
+trial_is_due (Balancer *balancer, const Target *target, TargetView *view)
 {
   gint64 now = clock_now (balancer->clock);
   gint64 every = balancer_trial_every_us (balancer, target->hall);
@@ -46,7 +46,7 @@
 static double
 load_of (const Candidate *candidate)
 {
-  const View *view = candidate->view;
+  const TargetView *view = candidate->view;
   guint slots =
       view->known && view->report.limit ? view->report.limit : candidate->target->slots;
 
@@ -57,7 +57,7 @@
 
 /* Returns the target's mean latency, or a default if it is shorter or unknown. */
 static double
-work_of (const Candidate *candidate)
+service_time_of (const Candidate *candidate)
 {
   return MAX (candidate->view->report.latency_us, LATENCY_UNKNOWN_US);
 }
@@ -66,13 +66,13 @@
 static double
 score_of (const Candidate *candidate)
 {
-  return load_of (candidate) * work_of (candidate);
+  return load_of (candidate) * service_time_of (candidate);
 }
 
 /* Returns the better of two random candidates of the own hall or of the others (power of
    two choices), or NULL if there are none. */
 static const Candidate *
-pick_two (Balancer *balancer, const GArray *candidates, gboolean local)
+pick_two_choices (Balancer *balancer, const GArray *candidates, gboolean local)
 {
   const Candidate *best = NULL;
   guint seen = 0;
@@ -103,7 +103,7 @@
 
 /* Returns the candidate of the own hall with the shortest wait, or NULL. */
 static const Candidate *
-pick_best (const GArray *candidates)
+pick_local_best (const GArray *candidates)
 {
   const Candidate *best = NULL;
 
@@ -121,14 +121,14 @@
    whose wait is shorter by more than the local latency. For a smaller gain a move between
    halls does not pay. */
 static const Candidate *
-pick_wait (Balancer *balancer, const GArray *candidates)
+pick_shortest_wait (Balancer *balancer, const GArray *candidates)
 {
-  const Candidate *local = pick_best (candidates);
-  const Candidate *other = pick_two (balancer, candidates, FALSE);
+  const Candidate *local = pick_local_best (candidates);
+  const Candidate *other = pick_two_choices (balancer, candidates, FALSE);
 
   if (!local || !other)
     return local ? local : other;
-  return score_of (other) + work_of (local) < score_of (local) ? other : local;
+  return score_of (other) + service_time_of (local) < score_of (local) ? other : local;
 }
 
 static const Candidate *
@@ -138,11 +138,11 @@
   const Candidate *other = NULL;
 
   if (halls == BALANCER_OWN_BEST)
-    return pick_best (candidates);
+    return pick_local_best (candidates);
   if (halls == BALANCER_SHORTEST_WAIT)
-    return pick_wait (balancer, candidates);
-  local = pick_two (balancer, candidates, TRUE);
-  other = pick_two (balancer, candidates, FALSE);
+    return pick_shortest_wait (balancer, candidates);
+  local = pick_two_choices (balancer, candidates, TRUE);
+  other = pick_two_choices (balancer, candidates, FALSE);
   if (!local && !other)
     return NULL;
   if (!other)
@@ -205,7 +205,7 @@
     {
       const Target *target = g_ptr_array_index (service->targets, i);
 
-      const View *view = balancer_view (balancer, target->name);
+      const TargetView *view = balancer_view (balancer, target->name);
       const Path *path = balancer_path (balancer, target->vm);
 
       if (target->state == TARGET_SERVING && !path->dead &&
@@ -245,7 +245,7 @@
 static void
 pools_add (Balancer *balancer, Pools *pools, const Target *target, const EjectItem *item)
 {
-  const View *view = balancer_view (balancer, target->name);
+  const TargetView *view = balancer_view (balancer, target->name);
   const Path *path = balancer_path (balancer, target->vm);
   GArray *pool = pools->steady;
 
@@ -266,7 +266,7 @@
  * follow when sick targets hang.
  */
 static gboolean
-breaks_off_at_once (Balancer *balancer, const Service *service, const EjectItem *items)
+mostly_abrupt (Balancer *balancer, const Service *service, const EjectItem *items)
 {
   guint sick = 0;
   guint abrupt = 0;
@@ -297,7 +297,7 @@
 static guint
 severity_of (Balancer *balancer, const Target *target)
 {
-  const View *view = balancer_view (balancer, target->name);
+  const TargetView *view = balancer_view (balancer, target->name);
 
   return balancer_is_current (view, balancer_path (balancer, target->vm))
              ? view->report.severity
@@ -305,7 +305,9 @@
 }
 
 BalancerChoice
-balancer_choose (Balancer *balancer, const Service *service, const BalancerWish *wish)
+balancer_choose (Balancer *balancer,
+                 const Service *service,
+                 const BalancerCriteria *criteria)
 {
   BalancerChoice choice = { .retry_after_us = RETRY_AFTER_US };
   guint count = service->targets->len;
@@ -315,18 +317,19 @@
   Pools pools;
 
   pools_init (&pools);
-  balancer_weigh (balancer, service, items);
-  choice.abrupt = breaks_off_at_once (balancer, service, items);
+  balancer_apply_ejections (balancer, service, items);
+  choice.abrupt = mostly_abrupt (balancer, service, items);
   for (guint i = 0; i < count; i++)
     {
       const Target *target = g_ptr_array_index (service->targets, i);
 
       any_available |= items[i].available;
       any_healthy |= items[i].available && items[i].severity == 0;
-      if (!items[i].available || was_tried (wish->tried, target->name))
+      if (!items[i].available || was_tried (criteria->tried, target->name))
         continue;
       pools_add (balancer, &pools, target, &items[i]);
-      if (items[i].severity > 0 && wish->trial != BALANCER_NO_TRIAL && !wish->tried &&
+      if (items[i].severity > 0 && criteria->trial != BALANCER_NO_TRIAL &&
+          !criteria->tried &&
           trial_is_due (balancer, target, balancer_view (balancer, target->name)))
         {
           choice.target = target;
@@ -338,10 +341,11 @@
         }
     }
   if (!any_available)
-    add_last_resorts (balancer, service, wish->tried, pools.steady);
-  if (wish->shedding != BALANCER_SHEDDING_ONLY || pools.shedding->len > 0)
-    choice.target = pick_healthy_first (balancer, pools_healthy (&pools, wish->shedding),
-                                        pools.sick, wish->halls, any_healthy);
+    add_last_resorts (balancer, service, criteria->tried, pools.steady);
+  if (criteria->shedding != BALANCER_SHEDDING_ONLY || pools.shedding->len > 0)
+    choice.target =
+        pick_healthy_first (balancer, pools_healthy (&pools, criteria->shedding),
+                            pools.sick, criteria->halls, any_healthy);
   pools_clear (&pools);
   choice.local = choice.target && strcmp (choice.target->hall, balancer->hall) == 0;
   choice.sick = choice.target && severity_of (balancer, choice.target) > 0;
--- a/core/src/request/balancer-private.h
+++ b/core/src/request/balancer-private.h
@@ -12,12 +12,12 @@
 
 /* Mean interval between trials offered to a sick target of another hall, by all ingresses
    together. */
-#define BALANCER_TRIAL_EVERY_US (SECOND_US / 2)
+#define BALANCER_TRIAL_OTHER_US (SECOND_US / 2)
 /* Mean interval between trials that each ingress offers to a sick target of its own hall.
    The sidecar accepts one at a time, and a refusal within the hall costs less than 1 ms.
    Few ingresses serve repeatable requests, and three successful trials in a row should
    take at most 1 s. */
-#define BALANCER_TRIAL_NEAR_US (SECOND_US / 5)
+#define BALANCER_TRIAL_LOCAL_US (SECOND_US / 5)
 
 /* This ingress's view of one target. */
 typedef struct
@@ -26,20 +26,20 @@
   gboolean known;      /* a report has been received */
   guint outstanding;   /* this ingress's attempts in flight */
   gint64 trial_due_us; /* earliest time of the next trial */
-} View;
+} TargetView;
 
 struct Balancer
 {
   char *hall;
   GRand *rand;
   Clock *clock;
-  GHashTable *views; /* target → View */
+  GHashTable *views; /* target → TargetView */
   GHashTable *paths; /* node → Path */
   guint ingresses;
 };
 
 /* Return the entry, which the balancer owns; an absent one is created. */
-View *balancer_view (Balancer *balancer, const char *target);
+TargetView *balancer_view (Balancer *balancer, const char *target);
 Path *balancer_path (Balancer *balancer, const char *vm);
 
 /* Returns the mean interval between the trials that this ingress offers to one target of
@@ -48,10 +48,11 @@
 
 /* Whether the view of a target comes from its sidecar's current incarnation; TRUE if the
    membership has reported none. */
-gboolean balancer_is_current (const View *view, const Path *path);
+gboolean balancer_is_current (const TargetView *view, const Path *path);
 
 /* Ejects sick targets of a service down to its floor (core/eject.h). `items` is filled
    with one item per target. Returns the number of slots that stay in service. */
-guint balancer_weigh (Balancer *balancer, const Service *service, EjectItem *items);
+guint
+balancer_apply_ejections (Balancer *balancer, const Service *service, EjectItem *items);
 
 #endif
--- a/core/src/request/balancer-status.c
+++ b/core/src/request/balancer-status.c
@@ -31,7 +31,7 @@
   for (guint i = 0; i < service->targets->len; i++)
     {
       const Target *target = g_ptr_array_index (service->targets, i);
-      const View *view = balancer_view (balancer, target->name);
+      const TargetView *view = balancer_view (balancer, target->name);
 
       if (view->known && view->report.samples >= MEDIAN_SAMPLES_MIN)
         g_array_append_val (failures, view->report.failures_ppm);
@@ -46,13 +46,13 @@
 {
   guint count = service->targets->len;
   g_autofree EjectItem *items = g_new0 (EjectItem, count + 1);
-  const View *view = balancer_view (balancer, target->name);
+  const TargetView *view = balancer_view (balancer, target->name);
   const Path *path = balancer_path (balancer, target->vm);
   TargetStatus status = { view->report, view->known, !path->dead, FALSE, FALSE };
 
   status.path_open = path_usable (path, clock_now (balancer->clock));
   status.report.target = target->name;
-  balancer_weigh (balancer, service, items);
+  balancer_apply_ejections (balancer, service, items);
   for (guint i = 0; i < count; i++)
     if (strcmp (items[i].name, target->name) == 0)
       status.ejected = items[i].ejected;
@@ -64,5 +64,5 @@
 {
   g_autofree EjectItem *items = g_new0 (EjectItem, service->targets->len + 1);
 
-  return balancer_weigh (balancer, service, items);
+  return balancer_apply_ejections (balancer, service, items);
 }
--- a/core/src/request/balancer.c
+++ b/core/src/request/balancer.c
@@ -27,14 +27,14 @@
   g_free (balancer);
 }
 
-View *
+TargetView *
 balancer_view (Balancer *balancer, const char *target)
 {
-  View *view = g_hash_table_lookup (balancer->views, target);
+  TargetView *view = g_hash_table_lookup (balancer->views, target);
 
   if (view)
     return view;
-  view = g_new0 (View, 1);
+  view = g_new0 (TargetView, 1);
   g_hash_table_insert (balancer->views, g_strdup (target), view);
   return view;
 }
@@ -70,7 +70,7 @@
     }
   g_hash_table_iter_init (&iter, balancer->views);
   while (g_hash_table_iter_next (&iter, &key, &value))
-    if (((View *)value)->outstanding == 0 && !g_hash_table_contains (named, key))
+    if (((TargetView *)value)->outstanding == 0 && !g_hash_table_contains (named, key))
       g_hash_table_iter_remove (&iter);
 }
 
@@ -78,8 +78,8 @@
 balancer_trial_every_us (const Balancer *balancer, const char *hall)
 {
   if (strcmp (hall, balancer->hall) == 0)
-    return BALANCER_TRIAL_NEAR_US;
-  return BALANCER_TRIAL_EVERY_US * balancer->ingresses;
+    return BALANCER_TRIAL_LOCAL_US;
+  return BALANCER_TRIAL_OTHER_US * balancer->ingresses;
 }
 
 /*
@@ -87,9 +87,9 @@
  * ingresses learn of it at the same moment.
  */
 static void
-note_severity (Balancer *balancer, View *view, guint severity)
+note_severity (Balancer *balancer, TargetView *view, guint severity)
 {
-  gint64 every = BALANCER_TRIAL_EVERY_US * balancer->ingresses;
+  gint64 every = BALANCER_TRIAL_OTHER_US * balancer->ingresses;
 
   if (severity == 0 || view->report.severity > 0)
     return;
@@ -100,7 +100,7 @@
 void
 balancer_note_report (Balancer *balancer, const TargetReport *report)
 {
-  View *view = balancer_view (balancer, report->target);
+  TargetView *view = balancer_view (balancer, report->target);
 
   /* Incarnations have no order, so a report of another incarnation replaces the view. */
   if (view->known && report->incarnation == view->report.incarnation &&
@@ -117,7 +117,7 @@
                        const char *target,
                        const TargetVerdict *verdict)
 {
-  View *view = balancer_view (balancer, target);
+  TargetView *view = balancer_view (balancer, target);
   gboolean same = view->report.incarnation == verdict->incarnation;
 
   if (same && verdict->serial < view->report.serial)
@@ -176,7 +176,7 @@
 }
 
 gboolean
-balancer_is_current (const View *view, const Path *path)
+balancer_is_current (const TargetView *view, const Path *path)
 {
   return path->incarnation == 0 || view->report.incarnation == path->incarnation;
 }
@@ -189,7 +189,7 @@
   for (guint i = 0; i < service->targets->len; i++)
     {
       const Target *target = g_ptr_array_index (service->targets, i);
-      const View *view = balancer_view (balancer, target->name);
+      const TargetView *view = balancer_view (balancer, target->name);
       const Path *path = balancer_path (balancer, target->vm);
       gboolean current = balancer_is_current (view, path);
       gboolean weigh = current && service->detection != DETECTION_OFF;
@@ -213,22 +213,22 @@
 }
 
 guint
-balancer_weigh (Balancer *balancer, const Service *service, EjectItem *items)
+balancer_apply_ejections (Balancer *balancer, const Service *service, EjectItem *items)
 {
   fill_items (balancer, service, items);
   return eject_apply (items, service->targets->len, floor_of (service));
 }
 
 void
-balancer_begin (Balancer *balancer, const char *target)
+balancer_attempt_started (Balancer *balancer, const char *target)
 {
   balancer_view (balancer, target)->outstanding++;
 }
 
 void
-balancer_end (Balancer *balancer, const char *target)
+balancer_attempt_ended (Balancer *balancer, const char *target)
 {
-  View *view = balancer_view (balancer, target);
+  TargetView *view = balancer_view (balancer, target);
 
   if (view->outstanding > 0)
     view->outstanding--;
--- a/core/src/request/dispatch.c
+++ b/core/src/request/dispatch.c
@@ -235,14 +235,14 @@
 }
 
 void
-dispatch_beside_sent (Dispatch *dispatch)
+dispatch_hedge_sent (Dispatch *dispatch)
 {
   dispatch->attempts++;
   dispatch->beside = TRUE;
 }
 
 void
-dispatch_beside_ended (Dispatch *dispatch, DispatchReport report, Reason reason)
+dispatch_hedge_over (Dispatch *dispatch, DispatchReport report, Reason reason)
 {
   dispatch->reason = reason;
   dispatch->beside = FALSE;
--- a/core/src/request/fence.c
+++ b/core/src/request/fence.c
@@ -9,8 +9,8 @@
   gint64 created_us;
   GBytes *answer;
   gpointer data;
-  GList place;        /* in Fence.order */
-  GList answer_place; /* in Fence.answers, while an answer is kept */
+  GList place;       /* in Fence.order */
+  GList answer_link; /* in Fence.answers, while an answer is kept */
 };
 
 struct Fence
@@ -83,7 +83,7 @@
 {
   if (!entry->answer)
     return;
-  g_queue_unlink (&fence->answers, &entry->answer_place);
+  g_queue_unlink (&fence->answers, &entry->answer_link);
   fence->answer_bytes -= g_bytes_get_size (entry->answer);
   g_clear_pointer (&entry->answer, g_bytes_unref);
 }
@@ -164,7 +164,7 @@
   entry->state = state;
   entry->created_us = clock_now (fence->clock);
   entry->place.data = entry;
-  entry->answer_place.data = entry;
+  entry->answer_link.data = entry;
   g_queue_push_tail_link (&fence->order, &entry->place);
   g_hash_table_insert (fence->entries, entry->id, entry);
   return entry;
@@ -175,7 +175,7 @@
  * copies of the same message are then refused as well, without a tombstone.
  */
 static void
-close_to_old_readings (Fence *fence)
+reject_older_readings (Fence *fence)
 {
   fence->accept_from_us = clock_now (fence->clock) + 1;
 }
@@ -189,7 +189,7 @@
 {
   *entry = NULL;
   if (incarnation != fence->incarnation)
-    return FENCE_INCARNATION;
+    return FENCE_WRONG_INCARNATION;
   sweep (fence);
   *entry = g_hash_table_lookup (fence->entries, id);
   if (*entry)
@@ -200,7 +200,7 @@
     return FENCE_FULL;
   if (fence_size (fence) >= fence->limits.entries_max)
     {
-      close_to_old_readings (fence);
+      reject_older_readings (fence);
       return FENCE_FULL;
     }
   /* A reading from the future is an error of the peer, so the attempt never starts. */
@@ -231,7 +231,7 @@
     return;
   entry->answer = g_bytes_ref (answer);
   fence->answer_bytes += g_bytes_get_size (answer);
-  g_queue_push_tail_link (&fence->answers, &entry->answer_place);
+  g_queue_push_tail_link (&fence->answers, &entry->answer_link);
   while (fence->answer_bytes > fence->limits.answers_max)
     drop_answer (fence, fence->answers.head->data);
 }
@@ -256,7 +256,7 @@
     case FENCE_STARTED:
       return FENCE_RUNNING;
     default:
-      return FENCE_OVER;
+      return FENCE_RAN;
     }
 }
 
@@ -280,7 +280,7 @@
     return FENCE_NOT_RUN;
   if (fence_size (fence) >= fence->limits.entries_max)
     {
-      close_to_old_readings (fence);
+      reject_older_readings (fence);
       return reading_us < fence->accept_from_us ? FENCE_NOT_RUN : FENCE_UNKNOWN;
     }
   *entry = add_entry (fence, id, FENCE_TOMBSTONE);
--- a/core/src/request/placement.c
+++ b/core/src/request/placement.c
@@ -5,12 +5,12 @@
 /* Minimum slack to queue in the own hall; a try in another hall takes only 4 ms. */
 #define OWN_QUEUE_MIN_US (5 * MS_US)
 /* Refusals for reasons other than load after which only the last queue is tried. */
-#define STRAYS_MAX 8u
+#define OTHER_REFUSALS_MAX 8u
 
 /* Refusals for load that end each step. Over twelve loaded runs of a simulated fleet of
    30 these values served 0.409 of the work, by its value to the callers; a second queue
    in the own hall served 0.403, and a single try in other halls 0.398. */
-static const guint tries_max[PLACEMENT_NOWHERE] = {
+static const guint tries_max[PLACEMENT_EXHAUSTED] = {
   [PLACEMENT_OWN_FREE] = 4,
   [PLACEMENT_OWN_QUEUE] = 1,
   [PLACEMENT_OTHER_FREE] = 2,
@@ -20,13 +20,13 @@
 };
 
 static gboolean
-is_open (const Placement *placement, gint64 slack_us, guint arrivals)
+step_is_allowed (const Placement *placement, gint64 slack_us, guint arrivals)
 {
   PlacementStep step = placement->step;
 
   if (placement->tried[step] >= tries_max[step])
     return FALSE;
-  if (placement->strays >= STRAYS_MAX && step != PLACEMENT_LAST_QUEUE)
+  if (placement->other_refusals >= OTHER_REFUSALS_MAX && step != PLACEMENT_LAST_QUEUE)
     return FALSE;
   switch (step)
     {
@@ -49,21 +49,22 @@
       placement->arrivals = arrivals;
       placement->step = PLACEMENT_OWN_FREE;
     }
-  while (placement->step < PLACEMENT_NOWHERE && !is_open (placement, slack_us, arrivals))
+  while (placement->step < PLACEMENT_EXHAUSTED &&
+         !step_is_allowed (placement, slack_us, arrivals))
     placement->step++;
   return placement->step;
 }
 
 void
-placement_pass (Placement *placement)
+placement_skip (Placement *placement)
 {
-  if (placement->step < PLACEMENT_NOWHERE)
+  if (placement->step < PLACEMENT_EXHAUSTED)
     placement->step++;
 }
 
 /* Whether the target refused because of its load. */
 static gboolean
-is_for_load (Reason reason)
+is_load_refusal (Reason reason)
 {
   return reason == REASON_OVERLOAD || reason == REASON_DEADLINE ||
          reason == REASON_BUDGET || reason == REASON_TARGET_REFUSED;
@@ -73,10 +74,10 @@
 placement_refused (Placement *placement, Reason reason)
 {
   /* The caller limits the refusals for a missing proof (core/proof.h) itself. */
-  if (placement->step >= PLACEMENT_NOWHERE || reason == REASON_UNPROVED)
+  if (placement->step >= PLACEMENT_EXHAUSTED || reason == REASON_UNPROVED)
     return;
-  if (is_for_load (reason))
+  if (is_load_refusal (reason))
     placement->tried[placement->step]++;
   else
-    placement->strays++;
+    placement->other_refusals++;
 }
--- a/core/src/request/retry.c
+++ b/core/src/request/retry.c
@@ -13,7 +13,7 @@
 typedef struct
 {
   gint64 number; /* of the slice, from the clock's origin */
-  guint firsts;
+  guint first_attempts;
   guint retries;
 } Slice;
 
@@ -67,7 +67,7 @@
 
 /* Returns the current slice, reusing the place of one that has left the window. */
 static Slice *
-present_slice (RetryBudget *budget)
+current_slice (RetryBudget *budget)
 {
   gint64 number = present (budget);
   Slice *slice = &budget->slices[number % (SLICES + 1)];
@@ -80,7 +80,7 @@
 void
 retry_budget_deposit (RetryBudget *budget)
 {
-  present_slice (budget)->firsts++;
+  current_slice (budget)->first_attempts++;
 }
 
 /* The slice that lies only partly within the window counts for retries but not for first
@@ -98,7 +98,7 @@
       gint64 age = now - slice->number;
 
       if (age < SLICES)
-        allowed += (guint64)slice->firsts * budget->percent;
+        allowed += (guint64)slice->first_attempts * budget->percent;
       if (age <= SLICES)
         spent += (guint64)slice->retries * ONE_RETRY;
     }
@@ -110,14 +110,14 @@
 {
   if (!retry_budget_has (budget))
     return FALSE;
-  retry_budget_borrow (budget);
+  retry_budget_charge (budget);
   return TRUE;
 }
 
 void
-retry_budget_borrow (RetryBudget *budget)
+retry_budget_charge (RetryBudget *budget)
 {
-  present_slice (budget)->retries++;
+  current_slice (budget)->retries++;
 }
 
 gboolean
@@ -132,7 +132,7 @@
   if (kind == RETRY_NONE)
     retry_budget_deposit (budget);
   else if (kind == RETRY_INHERITED || kind == RETRY_AGAIN)
-    retry_budget_borrow (budget);
+    retry_budget_charge (budget);
 }
 
 gint64
--- a/core/src/request/split.c
+++ b/core/src/request/split.c
@@ -47,7 +47,7 @@
 }
 
 static gint64
-weights_of (const Route *route)
+total_weight_of (const Route *route)
 {
   gint64 total = 0;
 
@@ -103,7 +103,7 @@
 const char *
 splitter_pick (Splitter *splitter, const Route *route)
 {
-  gint64 total = weights_of (route);
+  gint64 total = total_weight_of (route);
   guint place;
 
   if (route->split->len == 0)
@@ -113,7 +113,7 @@
 }
 
 void
-splitter_prune (Splitter *splitter)
+splitter_reset (Splitter *splitter)
 {
   g_hash_table_remove_all (splitter->routes);
 }
--- a/core/src/request/warmup.c
+++ b/core/src/request/warmup.c
@@ -8,8 +8,8 @@
   Clock *clock;
   double per_s;
   double burst;
-  double saved; /* tokens in the bucket at `counted_us`; may be negative */
-  gint64 counted_us;
+  double bucket_tokens; /* tokens in the bucket at `tokens_updated_us`; may be negative */
+  gint64 tokens_updated_us;
   gint64 cold_until_us;
   gboolean unknown; /* no report since the target may have become cold */
 };
@@ -20,7 +20,7 @@
   Warmup *warmup = g_new0 (Warmup, 1);
 
   warmup->clock = clock;
-  warmup->counted_us = clock_now (clock);
+  warmup->tokens_updated_us = clock_now (clock);
   warmup->unknown = TRUE;
   return warmup;
 }
@@ -33,12 +33,12 @@
 
 /* Returns the tokens in the bucket now. */
 static double
-saved_now (const Warmup *warmup)
+bucket_tokens_now (const Warmup *warmup)
 {
   double seconds =
-      (double)(clock_now (warmup->clock) - warmup->counted_us) / (double)SECOND_US;
+      (double)(clock_now (warmup->clock) - warmup->tokens_updated_us) / (double)SECOND_US;
 
-  return MIN (warmup->burst, warmup->saved + seconds * warmup->per_s);
+  return MIN (warmup->burst, warmup->bucket_tokens + seconds * warmup->per_s);
 }
 
 void
@@ -48,12 +48,12 @@
     return;
   warmup->per_s = per_s;
   warmup->burst = MAX (burst, 1);
-  warmup->saved = warmup->burst;
-  warmup->counted_us = clock_now (warmup->clock);
+  warmup->bucket_tokens = warmup->burst;
+  warmup->tokens_updated_us = clock_now (warmup->clock);
 }
 
 void
-warmup_note (Warmup *warmup, gint64 cold_us)
+warmup_note_report (Warmup *warmup, gint64 cold_us)
 {
   warmup->unknown = FALSE;
   warmup->cold_until_us = clock_now (warmup->clock) + cold_us;
@@ -66,7 +66,7 @@
 }
 
 gboolean
-warmup_is_on (const Warmup *warmup)
+warmup_is_limiting (const Warmup *warmup)
 {
   if (warmup->per_s <= 0)
     return FALSE;
@@ -76,19 +76,19 @@
 gboolean
 warmup_allows (const Warmup *warmup)
 {
-  return !warmup_is_on (warmup) || saved_now (warmup) >= 1;
+  return !warmup_is_limiting (warmup) || bucket_tokens_now (warmup) >= 1;
 }
 
 void
 warmup_count_start (Warmup *warmup)
 {
-  double saved;
+  double bucket_tokens;
 
   if (warmup->per_s <= 0)
     return;
-  saved = saved_now (warmup) - 1;
-  warmup->saved = MAX (saved, -DEBT_MAX_S * warmup->per_s);
-  warmup->counted_us = clock_now (warmup->clock);
+  bucket_tokens = bucket_tokens_now (warmup) - 1;
+  warmup->bucket_tokens = MAX (bucket_tokens, -DEBT_MAX_S * warmup->per_s);
+  warmup->tokens_updated_us = clock_now (warmup->clock);
 }
 
 gint64
@@ -96,8 +96,8 @@
 {
   double lacking;
 
-  if (!warmup_is_on (warmup))
+  if (!warmup_is_limiting (warmup))
     return 0;
-  lacking = (double)ahead + 1 - saved_now (warmup);
+  lacking = (double)ahead + 1 - bucket_tokens_now (warmup);
   return lacking <= 0 ? 0 : (gint64)(lacking / warmup->per_s * (double)SECOND_US);
 }
--- a/core/tests/test-balancer.c
+++ b/core/tests/test-balancer.c
@@ -84,9 +84,9 @@
 
   for (guint n = 0; n < ROUNDS; n++)
     {
-      BalancerWish wish = { .tried = tried };
+      BalancerCriteria criteria = { .tried = tried };
       BalancerChoice choice =
-          balancer_choose (fixture->balancer, fixture->service, &wish);
+          balancer_choose (fixture->balancer, fixture->service, &criteria);
 
       if (choice.target && strcmp (choice.target->name, name) == 0)
         count++;
@@ -139,12 +139,12 @@
 test_with_all_failing_any_is_better_than_none (void **state)
 {
   Fixture fixture = setup ();
-  BalancerWish wish = { .trial = BALANCER_NO_TRIAL };
+  BalancerCriteria criteria = { .trial = BALANCER_NO_TRIAL };
   BalancerChoice choice;
 
   for (guint i = 0; i < TARGETS; i++)
     report (&fixture, i, 0, 100, FALSE);
-  choice = balancer_choose (fixture.balancer, fixture.service, &wish);
+  choice = balancer_choose (fixture.balancer, fixture.service, &criteria);
   assert_non_null (choice.target);
   assert_true (choice.sick);
   teardown (&fixture);
@@ -167,13 +167,13 @@
 static guint
 trials (Fixture *fixture, BalancerTrial trial, gint64 span_us)
 {
-  BalancerWish wish = { .trial = trial };
+  BalancerCriteria criteria = { .trial = trial };
   guint count = 0;
 
   for (gint64 t = 0; t < span_us; t += 20 * MS_US)
     {
       clock_advance (fixture->clock, 20 * MS_US);
-      count += balancer_choose (fixture->balancer, fixture->service, &wish).trial;
+      count += balancer_choose (fixture->balancer, fixture->service, &criteria).trial;
     }
   return count;
 }
@@ -234,8 +234,8 @@
 {
   Fixture fixture = setup ();
   Balancer *foreign = balancer_create ("elsewhere", fixture.rand, fixture.clock);
-  BalancerWish own = { .halls = BALANCER_OWN_FIRST };
-  BalancerWish others = { .halls = BALANCER_OTHERS_FIRST };
+  BalancerCriteria own = { .halls = BALANCER_OWN_FIRST };
+  BalancerCriteria others = { .halls = BALANCER_OTHERS_FIRST };
 
   assert_true (balancer_choose (fixture.balancer, fixture.service, &own).local);
   /* Where one kind is missing the other does. */
@@ -260,8 +260,8 @@
 {
   Fixture fixture = setup ();
   g_autoptr (GPtrArray) tried = g_ptr_array_new ();
-  BalancerWish never = { .shedding = BALANCER_SHEDDING_NEVER, .tried = tried };
-  BalancerWish only = { .shedding = BALANCER_SHEDDING_ONLY };
+  BalancerCriteria never = { .shedding = BALANCER_SHEDDING_NEVER, .tried = tried };
+  BalancerCriteria only = { .shedding = BALANCER_SHEDDING_ONLY };
 
   for (guint i = 0; i < TARGETS; i++)
     report (&fixture, i, 0, 0, FALSE);
@@ -332,8 +332,8 @@
     gboolean expected;
   } cases[] = { { 0, 0, FALSE }, { 2, 0, FALSE }, { 3, 0, TRUE },
                 { 3, 1, TRUE },  { 1, 3, FALSE }, { 0, 4, FALSE } };
-  const BalancerWish wish = { BALANCER_NO_TRIAL, BALANCER_OWN_FIRST,
-                              BALANCER_SHEDDING_LAST, NULL };
+  const BalancerCriteria criteria = { BALANCER_NO_TRIAL, BALANCER_OWN_FIRST,
+                                      BALANCER_SHEDDING_LAST, NULL };
 
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
@@ -348,8 +348,9 @@
 
           balancer_note_verdict (fixture.balancer, name, &verdict);
         }
-      assert_int_equal (balancer_choose (fixture.balancer, fixture.service, &wish).abrupt,
-                        cases[i].expected);
+      assert_int_equal (
+          balancer_choose (fixture.balancer, fixture.service, &criteria).abrupt,
+          cases[i].expected);
       teardown (&fixture);
     }
 }
--- a/core/tests/test-dispatch.c
+++ b/core/tests/test-dispatch.c
@@ -184,14 +184,14 @@
   assert_true (dispatch_may_hedge (two.dispatch));
   assert_false (dispatch_may_hedge (one.dispatch));
   assert_false (dispatch_may_hedge (unsafe.dispatch));
-  dispatch_beside_sent (two.dispatch);
+  dispatch_hedge_sent (two.dispatch);
   assert_false (dispatch_may_hedge (two.dispatch));
   /* Refused before a target saw it: another may be sent. One that arrived was the last.
    */
-  dispatch_beside_ended (two.dispatch, DISPATCH_REFUSED, REASON_OVERLOAD);
+  dispatch_hedge_over (two.dispatch, DISPATCH_REFUSED, REASON_OVERLOAD);
   assert_true (dispatch_may_hedge (two.dispatch));
-  dispatch_beside_sent (two.dispatch);
-  dispatch_beside_ended (two.dispatch, DISPATCH_FAILED, REASON_BROKEN);
+  dispatch_hedge_sent (two.dispatch);
+  dispatch_hedge_over (two.dispatch, DISPATCH_FAILED, REASON_BROKEN);
   assert_false (dispatch_may_hedge (two.dispatch));
   clock_advance (unsafe.clock, 2 * DEADLINE_US);
   assert_false (dispatch_may_hedge (unsafe.dispatch));
@@ -209,17 +209,17 @@
   Fixture faulted = setup (TRUE, 2);
   Fixture lost = setup (TRUE, 2);
 
-  dispatch_beside_sent (good.dispatch);
-  dispatch_beside_ended (good.dispatch, DISPATCH_LOST, REASON_TIMEOUT);
+  dispatch_hedge_sent (good.dispatch);
+  dispatch_hedge_over (good.dispatch, DISPATCH_LOST, REASON_TIMEOUT);
   assert_int_equal (dispatch_sent (good.dispatch, DISPATCH_DONE, REASON_NONE, 0).outcome,
                     OUTCOME_DONE);
-  dispatch_beside_sent (faulted.dispatch);
-  dispatch_beside_ended (faulted.dispatch, DISPATCH_FAULT, REASON_NONE);
+  dispatch_hedge_sent (faulted.dispatch);
+  dispatch_hedge_over (faulted.dispatch, DISPATCH_FAULT, REASON_NONE);
   assert_int_equal (
       dispatch_sent (faulted.dispatch, DISPATCH_FAILED, REASON_BROKEN, 0).outcome,
       OUTCOME_DONE);
-  dispatch_beside_sent (lost.dispatch);
-  dispatch_beside_ended (lost.dispatch, DISPATCH_LOST, REASON_TIMEOUT);
+  dispatch_hedge_sent (lost.dispatch);
+  dispatch_hedge_over (lost.dispatch, DISPATCH_LOST, REASON_TIMEOUT);
   assert_int_equal (
       dispatch_sent (lost.dispatch, DISPATCH_FAILED, REASON_BROKEN, 0).outcome,
       OUTCOME_UNKNOWN);
--- a/core/tests/test-fence.c
+++ b/core/tests/test-fence.c
@@ -139,7 +139,7 @@
       post_answer (world, packet, KIND_ASKED, DISPATCH_REFUSED);
       break;
     case FENCE_RUNNING:
-    case FENCE_OVER:
+    case FENCE_RAN:
       post_answer (world, packet, KIND_ASKED, report_of_entry (entry));
       break;
     default:
--- a/core/tests/test-floor.c
+++ b/core/tests/test-floor.c
@@ -81,8 +81,9 @@
 static void
 check_choice (Balancer *balancer, const Service *service, gboolean repeatable)
 {
-  BalancerWish wish = { .trial = repeatable ? BALANCER_TRIAL_DUE : BALANCER_NO_TRIAL };
-  BalancerChoice choice = balancer_choose (balancer, service, &wish);
+  BalancerCriteria criteria = { .trial =
+                                    repeatable ? BALANCER_TRIAL_DUE : BALANCER_NO_TRIAL };
+  BalancerChoice choice = balancer_choose (balancer, service, &criteria);
   TargetStatus status;
 
   if (!choice.target)
--- a/core/tests/test-placement.c
+++ b/core/tests/test-placement.c
@@ -16,12 +16,12 @@
             const Reason *reasons,
             guint count,
             gint64 slack_us,
-            guint asked[PLACEMENT_NOWHERE])
+            guint asked[PLACEMENT_EXHAUSTED])
 {
   guint total = 0;
   PlacementStep step;
 
-  while ((step = placement_next (placement, slack_us, 0)) != PLACEMENT_NOWHERE &&
+  while ((step = placement_next (placement, slack_us, 0)) != PLACEMENT_EXHAUSTED &&
          total < QUESTIONS_MAX)
     {
       asked[step]++;
@@ -36,7 +36,7 @@
 {
   static const Reason full[] = { REASON_OVERLOAD };
   Placement placement = { 0 };
-  guint asked[PLACEMENT_NOWHERE] = { 0 };
+  guint asked[PLACEMENT_EXHAUSTED] = { 0 };
 
   /* Eight for a free slot, and three for a place in a queue. */
   assert_int_equal (refuse_all (&placement, full, 1, SLACK_US, asked), 11);
@@ -56,7 +56,7 @@
   static const Reason mixed[] = { REASON_SICK, REASON_OVERLOAD, REASON_UNREACHABLE,
                                   REASON_OVERLOAD };
   Placement placement = { 0 };
-  guint asked[PLACEMENT_NOWHERE] = { 0 };
+  guint asked[PLACEMENT_EXHAUSTED] = { 0 };
 
   assert_in_range (refuse_all (&placement, mixed, 4, SLACK_US, asked), 12, 22);
   assert_in_range (asked[PLACEMENT_OWN_FREE], 7, 8);
@@ -92,11 +92,11 @@
   Placement placement = { 0 };
 
   placement_next (&placement, SLACK_US, 0);
-  placement_pass (&placement);
+  placement_skip (&placement);
   assert_int_equal (placement_next (&placement, SLACK_US, 0), PLACEMENT_OWN_QUEUE);
-  for (guint i = 0; i < PLACEMENT_NOWHERE; i++)
-    placement_pass (&placement);
-  assert_int_equal (placement_next (&placement, SLACK_US, 0), PLACEMENT_NOWHERE);
+  for (guint i = 0; i < PLACEMENT_EXHAUSTED; i++)
+    placement_skip (&placement);
+  assert_int_equal (placement_next (&placement, SLACK_US, 0), PLACEMENT_EXHAUSTED);
 }
 
 /* After a target has failed it looks for a free slot again, with the tries that are left.
@@ -112,13 +112,13 @@
       placement_refused (&placement, REASON_OVERLOAD);
     }
   while (placement_next (&placement, SLACK_US, 0) != PLACEMENT_SHEDDING)
-    placement_pass (&placement);
+    placement_skip (&placement);
   assert_int_equal (placement_next (&placement, SLACK_US, 1), PLACEMENT_OWN_FREE);
   placement_refused (&placement, REASON_OVERLOAD);
   placement_next (&placement, SLACK_US, 1);
-  placement_pass (&placement);
+  placement_skip (&placement);
   placement_next (&placement, SLACK_US, 1);
-  placement_pass (&placement);
+  placement_skip (&placement);
   /* One that sheds may turn away what has been tried once already. */
   assert_int_equal (placement_next (&placement, SLACK_US, 1), PLACEMENT_LAST_QUEUE);
 }
--- a/core/tests/test-retry.c
+++ b/core/tests/test-retry.c
@@ -27,7 +27,7 @@
   Clock *clock;
   GRand *rand;
   Holder holders[HOLDERS];
-  GArray *firsts; /* of gint64: when */
+  GArray *first_attempts; /* of gint64: when */
   GArray *retries;
 } Fleet;
 
@@ -50,7 +50,7 @@
   if (!retry_budget_allows (holder->budget, kind))
     return;
   retry_budget_note (holder->budget, kind);
-  g_array_append_val (kind == RETRY_AGAIN ? fleet->retries : fleet->firsts, now);
+  g_array_append_val (kind == RETRY_AGAIN ? fleet->retries : fleet->first_attempts, now);
 }
 
 static guint
@@ -76,12 +76,14 @@
     {
       gint64 to = g_array_index (fleet->retries, gint64, i);
       guint spent = count (fleet->retries, to - WINDOW_US, to);
-      guint firsts = 0;
+      guint first_attempts = 0;
 
       for (gint64 back = 0; back <= WINDOW_US; back += WINDOW_US / 2)
-        firsts = MAX (firsts, count (fleet->firsts, to - WINDOW_US - back, to - back));
-      if (spent * 100 > PERCENT * firsts + 100 * BURST)
-        fail_msg ("schedule %u: %u retries beside %u requests", seed, spent, firsts);
+        first_attempts = MAX (first_attempts, count (fleet->first_attempts,
+                                                     to - WINDOW_US - back, to - back));
+      if (spent * 100 > PERCENT * first_attempts + 100 * BURST)
+        fail_msg ("schedule %u: %u retries beside %u requests", seed, spent,
+                  first_attempts);
     }
 }
 
@@ -92,7 +94,7 @@
                   .rand = g_rand_new_with_seed (seed) };
   guint rate = (guint)g_rand_int_range (fleet.rand, 1, 20);
 
-  fleet.firsts = g_array_new (FALSE, FALSE, sizeof (gint64));
+  fleet.first_attempts = g_array_new (FALSE, FALSE, sizeof (gint64));
   fleet.retries = g_array_new (FALSE, FALSE, sizeof (gint64));
   for (guint i = 0; i < HOLDERS; i++)
     start (&fleet, &fleet.holders[i], TRUE);
@@ -115,7 +117,7 @@
   check (&fleet, seed);
   for (guint i = 0; i < HOLDERS; i++)
     retry_budget_destroy (fleet.holders[i].budget);
-  g_array_unref (fleet.firsts);
+  g_array_unref (fleet.first_attempts);
   g_array_unref (fleet.retries);
   g_rand_free (fleet.rand);
   clock_destroy (fleet.clock);
@@ -135,7 +137,7 @@
   Fleet fleet = { .clock = clock_create_manual (SECOND_US) };
   Holder *holder = &fleet.holders[0];
 
-  fleet.firsts = g_array_new (FALSE, FALSE, sizeof (gint64));
+  fleet.first_attempts = g_array_new (FALSE, FALSE, sizeof (gint64));
   fleet.retries = g_array_new (FALSE, FALSE, sizeof (gint64));
   start (&fleet, holder, TRUE);
   for (guint i = 0; i < 2 * BURST; i++)
@@ -145,7 +147,7 @@
   ask (&fleet, holder, RETRY_AGAIN);
   assert_int_equal (fleet.retries->len, BURST / HOLDERS);
   retry_budget_destroy (holder->budget);
-  g_array_unref (fleet.firsts);
+  g_array_unref (fleet.first_attempts);
   g_array_unref (fleet.retries);
   clock_destroy (fleet.clock);
 }
--- a/core/tests/test-warmup.c
+++ b/core/tests/test-warmup.c
@@ -67,7 +67,7 @@
   Fixture fixture = begin ();
   guint most;
 
-  warmup_note (fixture.warmup, 60 * SECOND_US);
+  warmup_note_report (fixture.warmup, 60 * SECOND_US);
   most = most_in_a_second (&fixture, 10 * SECOND_US);
   assert_in_range (most, (guint)PER_S, BEARS_IN_A_SECOND);
   end (&fixture);
@@ -78,13 +78,13 @@
 {
   Fixture fixture = begin ();
 
-  assert_true (warmup_is_on (fixture.warmup));
+  assert_true (warmup_is_limiting (fixture.warmup));
   assert_in_range (most_in_a_second (&fixture, 3 * SECOND_US), 1, BEARS_IN_A_SECOND);
-  warmup_note (fixture.warmup, 0);
-  assert_false (warmup_is_on (fixture.warmup));
+  warmup_note_report (fixture.warmup, 0);
+  assert_false (warmup_is_limiting (fixture.warmup));
   assert_true (warmup_allows (fixture.warmup));
   warmup_assume_cold (fixture.warmup);
-  assert_true (warmup_is_on (fixture.warmup));
+  assert_true (warmup_is_limiting (fixture.warmup));
   end (&fixture);
 }
 
@@ -95,10 +95,10 @@
 {
   Fixture fixture = begin ();
 
-  warmup_note (fixture.warmup, 0);
+  warmup_note_report (fixture.warmup, 0);
   for (guint i = 0; i < 100; i++)
     warmup_count_start (fixture.warmup);
-  warmup_note (fixture.warmup, 10 * SECOND_US);
+  warmup_note_report (fixture.warmup, 10 * SECOND_US);
   assert_false (warmup_allows (fixture.warmup));
   clock_advance (fixture.clock, SECOND_US / 2);
   assert_false (warmup_allows (fixture.warmup));
@@ -112,11 +112,11 @@
 {
   Fixture fixture = begin ();
 
-  warmup_note (fixture.warmup, 2 * SECOND_US);
+  warmup_note_report (fixture.warmup, 2 * SECOND_US);
   clock_advance (fixture.clock, 2 * SECOND_US - 1);
-  assert_true (warmup_is_on (fixture.warmup));
+  assert_true (warmup_is_limiting (fixture.warmup));
   clock_advance (fixture.clock, 1);
-  assert_false (warmup_is_on (fixture.warmup));
+  assert_false (warmup_is_limiting (fixture.warmup));
   end (&fixture);
 }
 
@@ -126,7 +126,7 @@
   Fixture fixture = begin ();
 
   warmup_set_rate (fixture.warmup, 0, 0);
-  assert_false (warmup_is_on (fixture.warmup));
+  assert_false (warmup_is_limiting (fixture.warmup));
   for (guint i = 0; i < 1000; i++)
     {
       assert_true (warmup_allows (fixture.warmup));
@@ -148,7 +148,7 @@
   char items[40];
 
   admission_set_warmup (admission, fixture.warmup);
-  warmup_note (fixture.warmup, 60 * SECOND_US);
+  warmup_note_report (fixture.warmup, 60 * SECOND_US);
   for (guint i = 0; i < G_N_ELEMENTS (items); i++)
     {
       started += admission_hold (admission);
--- a/daemon/src/request/attempt-send.c
+++ b/daemon/src/request/attempt-send.c
@@ -336,7 +336,7 @@
   attempt->remaining_us = remaining_us;
   attempt->out = TRUE;
   attempt->opening = TRUE;
-  balancer_begin (node->balancer, attempt->target->name);
+  balancer_attempt_started (node->balancer, attempt->target->name);
   if (!attempt->exchange->ticket && !peers_has_session (node->peers, attempt->target->vm))
     {
       attempt->patience = loop_timer_create (node->loop, on_patience_over, attempt);
--- a/daemon/src/request/attempt.c
+++ b/daemon/src/request/attempt.c
@@ -37,7 +37,8 @@
 {
   drop_pending (attempt);
   if (attempt->out)
-    balancer_end (attempt->exchange->owner->node->balancer, attempt->target->name);
+    balancer_attempt_ended (attempt->exchange->owner->node->balancer,
+                            attempt->target->name);
   attempt->out = FALSE;
 }
 
--- a/daemon/src/request/exchange-choice.c
+++ b/daemon/src/request/exchange-choice.c
@@ -61,9 +61,9 @@
 {
   const Exchange *exchange = attempt->exchange;
   g_autoptr (GPtrArray) names = excluded (exchange);
-  BalancerWish wish = { trial, halls, shedding, names->len ? names : NULL };
+  BalancerCriteria criteria = { trial, halls, shedding, names->len ? names : NULL };
 
-  return balancer_choose (exchange->owner->node->balancer, attempt->service, &wish);
+  return balancer_choose (exchange->owner->node->balancer, attempt->service, &criteria);
 }
 
 gint64
@@ -85,7 +85,8 @@
 choose_at (const Attempt *attempt, PlacementStep step)
 {
   const Exchange *exchange = attempt->exchange;
-  gboolean may_try = exchange->route->repeatable && exchange->placement.strays == 0;
+  gboolean may_try =
+      exchange->route->repeatable && exchange->placement.other_refusals == 0;
   BalancerTrial trial = may_try ? BALANCER_TRIAL_DUE : BALANCER_NO_TRIAL;
 
   switch (step)
@@ -128,16 +129,16 @@
   for (;;)
     {
       step = placement_next (&exchange->placement, slack, arrivals);
-      if (step == PLACEMENT_NOWHERE)
+      if (step == PLACEMENT_EXHAUSTED)
         break;
       choice = choose_at (attempt, step);
       if (suits (&choice, step))
         break;
-      placement_pass (&exchange->placement);
+      placement_skip (&exchange->placement);
     }
   attempt->may_queue = step == PLACEMENT_OWN_QUEUE || step == PLACEMENT_LAST_QUEUE;
   attempt->max_wait_us = step == PLACEMENT_OWN_QUEUE ? slack : 0;
-  if (step == PLACEMENT_NOWHERE)
+  if (step == PLACEMENT_EXHAUSTED)
     choice.target = NULL;
   return choice;
 }
--- a/daemon/src/request/exchange-hedge.c
+++ b/daemon/src/request/exchange-hedge.c
@@ -47,7 +47,7 @@
 
   exchange->hedges++;
   exchange->hedge = attempt;
-  dispatch_beside_sent (exchange->dispatch);
+  dispatch_hedge_sent (exchange->dispatch);
   attempt->retry = RETRY_AGAIN;
   log_event (G_LOG_LEVEL_INFO, "hedge", "ID", exchange->id, "TARGET",
              attempt->target->name, "BESIDE", exchange->attempt->target->name, NULL);
@@ -82,7 +82,7 @@
 {
   DispatchStep step;
 
-  dispatch_beside_ended (exchange->dispatch, DISPATCH_LOST, REASON_TIMEOUT);
+  dispatch_hedge_over (exchange->dispatch, DISPATCH_LOST, REASON_TIMEOUT);
   attempt_cancel (exchange->attempt);
   attempt_destroy (exchange->attempt);
   exchange->attempt = exchange->hedge;
@@ -101,7 +101,7 @@
     }
   attempt_destroy (exchange->hedge);
   exchange->hedge = NULL;
-  dispatch_beside_ended (exchange->dispatch, report, reason);
+  dispatch_hedge_over (exchange->dispatch, report, reason);
   loop_timer_start (exchange->hedge_timer, HEDGE_AGAIN_US);
 }
 
@@ -110,7 +110,7 @@
 {
   if (!exchange->hedge || report == DISPATCH_DONE)
     return FALSE;
-  dispatch_beside_ended (exchange->dispatch, report, reason);
+  dispatch_hedge_over (exchange->dispatch, report, reason);
   attempt_destroy (exchange->attempt);
   exchange->attempt = exchange->hedge;
   exchange->hedge = NULL;
--- a/daemon/src/request/exchange.c
+++ b/daemon/src/request/exchange.c
@@ -251,10 +251,10 @@
 {
   Exchange *exchange = exchange_create (exchanges, order);
   Attempt *attempt = attempt_create (exchange);
-  BalancerWish wish = { BALANCER_NO_TRIAL, BALANCER_BY_LOAD, BALANCER_SHEDDING_LAST,
-                        NULL };
+  BalancerCriteria criteria = { BALANCER_NO_TRIAL, BALANCER_BY_LOAD,
+                                BALANCER_SHEDDING_LAST, NULL };
   BalancerChoice choice =
-      balancer_choose (exchanges->node->balancer, order->service, &wish);
+      balancer_choose (exchanges->node->balancer, order->service, &criteria);
 
   exchange->attempt = attempt;
   attempt->targets = snapshot_ref (order->snapshot);
--- a/daemon/src/request/ingress.c
+++ b/daemon/src/request/ingress.c
@@ -78,7 +78,7 @@
 {
   if (ingress->split_generation != snapshot_generation (snapshot))
     {
-      splitter_prune (ingress->splitter);
+      splitter_reset (ingress->splitter);
       ingress->split_generation = snapshot_generation (snapshot);
     }
   return snapshot_service (snapshot, splitter_pick (ingress->splitter, route));
--- a/daemon/src/target/sidecar-calls.c
+++ b/daemon/src/target/sidecar-calls.c
@@ -70,7 +70,7 @@
     case FENCE_KNOWN:
       answer_known (sidecar, conn, xid, target, *entry, &args->attempt, -1);
       return FALSE;
-    case FENCE_INCARNATION:
+    case FENCE_WRONG_INCARNATION:
       sidecar_reply_plain (sidecar, conn, xid, target, &args->attempt, SW_UNKNOWN,
                            SW_REASON_INCARNATION);
       return FALSE;
@@ -228,7 +228,7 @@
                            SW_REASON_FENCED);
       break;
     case FENCE_RUNNING:
-    case FENCE_OVER:
+    case FENCE_RAN:
       answer_known (sidecar, conn, xid, target, entry, &args->attempt, until);
       break;
     default:
--- a/daemon/src/target/sidecar-target.c
+++ b/daemon/src/target/sidecar-target.c
@@ -65,7 +65,7 @@
 void
 sidecar_target_note_cold (SidecarTarget *target, gint64 cold_us)
 {
-  warmup_note (target->warmup, cold_us);
+  warmup_note_report (target->warmup, cold_us);
 }
 
 void
--- a/daemon/src/target/sidecar.c
+++ b/daemon/src/target/sidecar.c
@@ -228,7 +228,7 @@
 void
 sidecar_count_cold (const SidecarTarget *target, const Sidecar *sidecar)
 {
-  if (warmup_is_on (target->warmup))
+  if (warmup_is_limiting (target->warmup))
     metrics_add (sidecar->node->metrics, METRIC_COLD_REFUSED, 1);
 }
 
