--- a/bench/src/allowance-net-private.h
+++ b/bench/src/allowance-net-private.h
@@ -38,7 +38,7 @@
   char *name;
   guint hall;
   AllowanceBook *book;
-  AllowancePurse *purse;
+  AllowanceCache *cache;
   AllowanceTerms terms;
   gint64 started_us;
   gint64 config_us; /* when it hears of the lowered allowance */
--- a/bench/src/allowance-net.c
+++ b/bench/src/allowance-net.c
@@ -20,7 +20,7 @@
 {
   const char *names[ALLOWANCE_LENDERS];
 
-  sim->lender_counts[view] = allowance_lenders (sim->views[view], "acme", names);
+  sim->lender_counts[view] = allowance_select_lenders (sim->views[view], "acme", names);
   for (guint i = 0; i < sim->lender_counts[view]; i++)
     for (guint j = 0; j < sim->it->nodes; j++)
       if (sim->nodes[j].name == names[i])
@@ -49,9 +49,9 @@
 sim_start_node (Sim *sim, SimNode *node)
 {
   allowance_book_destroy (node->book);
-  allowance_purse_destroy (node->purse);
+  allowance_cache_destroy (node->cache);
   node->book = allowance_book_create (&sim_rule, sim->clock);
-  node->purse = allowance_purse_create (sim->clock);
+  node->cache = allowance_cache_create (sim->clock);
   node->started_us = clock_now (sim->clock);
   node->waiting = 0;
   node->due_us = 0;
@@ -96,7 +96,7 @@
   for (guint i = 0; i < sim->it->nodes; i++)
     {
       allowance_book_destroy (sim->nodes[i].book);
-      allowance_purse_destroy (sim->nodes[i].purse);
+      allowance_cache_destroy (sim->nodes[i].cache);
       g_free (sim->nodes[i].name);
     }
   g_array_unref (sim->views[0]);
@@ -142,7 +142,7 @@
 
 /* What a lender says; FALSE when it does not take itself for one. */
 static gboolean
-lend (Sim *sim, SimNode *lender, guint wanted, AllowanceLoan *loan)
+lend (Sim *sim, SimNode *lender, guint wanted, AllowanceGrant *grant)
 {
   guint places[ALLOWANCE_LENDERS];
   guint count = lenders_of (sim, lender, places);
@@ -153,8 +153,8 @@
     own |= &sim->nodes[places[i]] == lender;
   if (!own || clock_now (sim->clock) - lender->started_us < YOUNG_US)
     return FALSE;
-  *loan = allowance_book_lend (lender->book, "acme", &lender->terms,
-                               seen_share (sim, lender) / count, since, wanted);
+  *grant = allowance_book_lend (lender->book, "acme", &lender->terms,
+                                seen_share (sim, lender) / count, since, wanted);
   return TRUE;
 }
 
@@ -172,7 +172,7 @@
 static void
 serve (Sim *sim, SimNode *node)
 {
-  while (node->waiting > 0 && allowance_purse_spend (node->purse, "acme"))
+  while (node->waiting > 0 && allowance_cache_take (node->cache, "acme"))
     {
       let_through (sim, node);
       node->waiting--;
@@ -202,7 +202,7 @@
   if (node->due_us > 0)
     return;
   serve (sim, node);
-  node->wanted = node->waiting + allowance_purse_reserve (node->purse, "acme");
+  node->wanted = node->waiting + allowance_cache_prefetch_count (node->cache, "acme");
   if (sim->it->way == ALLOWANCE_NO_WAIT)
     node->wanted = MAX (node->wanted, 1);
   if (node->wanted == 0)
@@ -210,7 +210,7 @@
   count = lenders_of (sim, node, places);
   for (guint i = 0; i < count; i++)
     names[i] = sim->nodes[places[i]].name;
-  place = allowance_purse_pick (node->purse, "acme", names, count, &wait_us);
+  place = allowance_cache_pick_lender (node->cache, "acme", names, count, &wait_us);
   if (place < 0)
     {
       sim->refused += node->waiting;
@@ -229,19 +229,19 @@
 take_answer (Sim *sim, SimNode *node)
 {
   SimNode *lender = &sim->nodes[node->lender];
-  AllowanceLoan loan = { 0 };
+  AllowanceGrant grant = { 0 };
   gint64 pause = 0;
 
   node->due_us = 0;
   if (!gets_there (sim, node, lender))
     pause = SILENT_US;
-  else if (!lend (sim, lender, node->wanted, &loan))
+  else if (!lend (sim, lender, node->wanted, &grant))
     pause = NOT_LENDER_US;
-  else if (loan.lent < node->wanted)
-    pause = loan.retry_after_us;
-  allowance_purse_add (node->purse, "acme", loan.lent, node->asked_us);
+  else if (grant.lent < node->wanted)
+    pause = grant.retry_after_us;
+  allowance_cache_add (node->cache, "acme", grant.lent, node->asked_us);
   if (pause > 0)
-    allowance_purse_pass_over (node->purse, "acme", lender->name, pause);
+    allowance_cache_pause_lender (node->cache, "acme", lender->name, pause);
   serve (sim, node);
   if (node->waiting > 0)
     carry_on (sim, node);
@@ -259,21 +259,21 @@
 static void
 come (Sim *sim, SimNode *node)
 {
-  AllowanceLoan loan;
+  AllowanceGrant grant;
 
   sim->asked++;
   count_ideal (sim);
   if (sim->it->way == ALLOWANCE_EQUAL)
     {
-      loan = allowance_book_lend (node->book, "acme", &node->terms, 1.0 / sim->it->nodes,
-                                  node->started_us, 1);
-      if (loan.lent)
+      grant = allowance_book_lend (node->book, "acme", &node->terms, 1.0 / sim->it->nodes,
+                                   node->started_us, 1);
+      if (grant.lent)
         let_through (sim, node);
       else
         sim->refused++;
       return;
     }
-  if (node->waiting == 0 && allowance_purse_spend (node->purse, "acme"))
+  if (node->waiting == 0 && allowance_cache_take (node->cache, "acme"))
     let_through (sim, node);
   else if (sim->it->way == ALLOWANCE_NO_WAIT)
     sim->refused++;
--- a/bench/src/bench-quarantine.c
+++ b/bench/src/bench-quarantine.c
@@ -68,7 +68,7 @@
   Clock *clock = clock_create_manual (1000 * SECOND_US);
   Quarantine *list = quarantine_create (clock);
   FingerprintKey *key = fingerprint_key_create ("secret");
-  FingerprintWords words = {
+  FingerprintInput words = {
     "pay", "acme", "POST", "shop.example", "/orders/4711/items?page=3", "body", 4
   };
   guint known = 0;
@@ -76,7 +76,7 @@
 
   began = cpu_us ();
   for (guint i = 0; i < REQUESTS; i++)
-    known += quarantine_watches (list, quarantine_service_hash (words.service));
+    known += quarantine_has_service (list, quarantine_service_hash (words.service));
   printf ("price-nothing-known %.4f us\n", (cpu_us () - began) / REQUESTS);
   for (guint i = 0; i < QUARANTINE_ENTRIES_MAX; i++)
     {
@@ -91,11 +91,11 @@
     {
       Fingerprints prints = { 0 };
 
-      if (!quarantine_watches (list, quarantine_service_hash (words.service)))
+      if (!quarantine_has_service (list, quarantine_service_hash (words.service)))
         continue;
       prints = fingerprint_heads (key, &words);
       for (guint j = 0; j < prints.count; j++)
-        known += quarantine_knows_head (list, prints.of[j].head);
+        known += quarantine_has_head (list, prints.of[j].head);
     }
   printf ("price-full-list %.4f us known %u\n", (cpu_us () - began) / REQUESTS, known);
   fingerprint_key_destroy (key);
@@ -109,7 +109,7 @@
 {
   FingerprintKey *key = fingerprint_key_create ("secret");
   g_autofree char *body = g_malloc0 (BODY_MAX);
-  FingerprintWords words = { "pay", "acme", "POST", "h", "/p", body, BODY_MAX };
+  FingerprintInput words = { "pay", "acme", "POST", "h", "/p", body, BODY_MAX };
   double began = cpu_us ();
   Fingerprints prints = fingerprint_all (key, &words);
 
--- a/bench/src/quarantine-net.c
+++ b/bench/src/quarantine-net.c
@@ -133,7 +133,7 @@
   Message *message = g_new0 (Message, 1);
 
   message->to = to;
-  message->count = quarantine_news (sim->nodes[from].list, message->news, NEWS_MAX);
+  message->count = quarantine_next_news (sim->nodes[from].list, message->news, NEWS_MAX);
   send_message (sim, from, message);
 }
 
@@ -241,7 +241,7 @@
 
   if (quarantine_check (sim->nodes[node].list, &deadly).state < QUARANTINE_TRIAL)
     while (quarantine_urgency (sim->nodes[node].list) != QUARANTINE_NEWS_NONE)
-      quarantine_news (sim->nodes[node].list, news, NEWS_MAX);
+      quarantine_next_news (sim->nodes[node].list, news, NEWS_MAX);
 }
 
 static void
@@ -270,7 +270,7 @@
     return;
   answer = g_new0 (Message, 1);
   answer->to = node;
-  answer->count = quarantine_some (asked->list, answer->news, NEWS_MAX);
+  answer->count = quarantine_next_part (asked->list, answer->news, NEWS_MAX);
   send_message (sim, other, answer);
 }
 
@@ -286,7 +286,8 @@
   guint since = sim->step - FIRST_END_STEP;
   guint ends = since / END_GAP_STEPS;
 
-  if (sim->step >= FIRST_END_STEP && since % END_GAP_STEPS == 0 && ends < QUARANTINE_ENDS)
+  if (sim->step >= FIRST_END_STEP && since % END_GAP_STEPS == 0 &&
+      ends < QUARANTINE_ENDS_LIMIT)
     {
       g_autoptr (GArray) work = work_with (sim, TRUE, BESIDE);
 
@@ -384,7 +385,7 @@
 static QuarantineResult
 measure (const Sim *sim)
 {
-  guint third = FIRST_END_STEP + END_GAP_STEPS * (QUARANTINE_ENDS - 1);
+  guint third = FIRST_END_STEP + END_GAP_STEPS * (QUARANTINE_ENDS_LIMIT - 1);
   gint64 third_us = 1000 * SECOND_US + third * STEP_US;
   QuarantineResult result = { 0 };
   guint64 bytes = 0;
--- a/core/include/core/allowance.h
+++ b/core/include/core/allowance.h
@@ -77,9 +77,9 @@
  * order of `nodes`. The names in `lenders` are borrowed from `nodes`. Returns the number
  * of lenders.
  */
-guint allowance_lenders (const GArray *nodes,
-                         const char *account,
-                         const char *lenders[ALLOWANCE_LENDERS]);
+guint allowance_select_lenders (const GArray *nodes,
+                                const char *account,
+                                const char *lenders[ALLOWANCE_LENDERS]);
 
 /* The buckets of one node, for the accounts of which it is a lender. */
 typedef struct AllowanceBook AllowanceBook;
@@ -88,7 +88,7 @@
 {
   guint lent;
   gint64 retry_after_us; /* when to ask again, if fewer were leased than asked for */
-} AllowanceLoan;
+} AllowanceGrant;
 
 /* `clock` is borrowed. */
 AllowanceBook *allowance_book_create (const AllowanceRule *rule, Clock *clock);
@@ -99,55 +99,55 @@
  * the time from which on this node alone leases that share: a new bucket is empty at that
  * time.
  */
-AllowanceLoan allowance_book_lend (AllowanceBook *book,
-                                   const char *account,
-                                   const AllowanceTerms *terms,
-                                   double share,
-                                   gint64 since_us,
-                                   guint wanted);
+AllowanceGrant allowance_book_lend (AllowanceBook *book,
+                                    const char *account,
+                                    const AllowanceTerms *terms,
+                                    double share,
+                                    gint64 since_us,
+                                    guint wanted);
 
 /* Returns whether this node is a lender of the account; `data` is the caller's. */
-typedef gboolean (*AllowanceIsOwn) (const char *account, gpointer data);
+typedef gboolean (*AllowanceIsLender) (const char *account, gpointer data);
 
 /* Removes the buckets of accounts of which this node is no longer a lender, and those
    that have not been used for long enough to be full. */
-void allowance_book_prune (AllowanceBook *book, AllowanceIsOwn is_own, gpointer data);
+void allowance_book_prune (AllowanceBook *book, AllowanceIsLender is_own, gpointer data);
 
 /* The leases that one node holds, by account. */
-typedef struct AllowancePurse AllowancePurse;
+typedef struct AllowanceCache AllowanceCache;
 
-AllowancePurse *allowance_purse_create (Clock *clock);
-void allowance_purse_destroy (AllowancePurse *purse);
+AllowanceCache *allowance_cache_create (Clock *clock);
+void allowance_cache_destroy (AllowanceCache *cache);
 
 /* Uses one leased request. Returns FALSE if there is none. */
-gboolean allowance_purse_spend (AllowancePurse *purse, const char *account);
+gboolean allowance_cache_take (AllowanceCache *cache, const char *account);
 
 /* Returns how many requests to lease in advance, in addition to those that already wait:
    the number that is expected to be used before the leases expire. */
-guint allowance_purse_reserve (const AllowancePurse *purse, const char *account);
+guint allowance_cache_prefetch_count (const AllowanceCache *cache, const char *account);
 
 /* Adds `count` requests leased by the answer to a question sent at `asked_us`. */
-void allowance_purse_add (AllowancePurse *purse,
+void allowance_cache_add (AllowanceCache *cache,
                           const char *account,
                           guint count,
                           gint64 asked_us);
 
-/* Excludes a lender from allowance_purse_pick for `for_us`. */
-void allowance_purse_pass_over (AllowancePurse *purse,
-                                const char *account,
-                                const char *lender,
-                                gint64 for_us);
+/* Excludes a lender from allowance_cache_pick_lender for `for_us`. */
+void allowance_cache_pause_lender (AllowanceCache *cache,
+                                   const char *account,
+                                   const char *lender,
+                                   gint64 for_us);
 
 /* Returns the index of the first of `lenders` that may be asked now. Otherwise returns -1
    and sets `wait_us` to the time until one may be asked. */
-gint allowance_purse_pick (const AllowancePurse *purse,
-                           const char *account,
-                           const char *const *lenders,
-                           guint count,
-                           gint64 *wait_us);
+gint allowance_cache_pick_lender (const AllowanceCache *cache,
+                                  const char *account,
+                                  const char *const *lenders,
+                                  guint count,
+                                  gint64 *wait_us);
 
 /* Returns the recent rate at which this node let requests of the account through, in
    requests a second. */
-double allowance_purse_rate (const AllowancePurse *purse, const char *account);
+double allowance_cache_use_rate (const AllowanceCache *cache, const char *account);
 
 #endif
--- a/core/include/core/fingerprint.h
+++ b/core/include/core/fingerprint.h
@@ -37,7 +37,7 @@
   const char *path;
   const void *body;
   gsize body_len;
-} FingerprintWords;
+} FingerprintInput;
 
 typedef struct FingerprintKey FingerprintKey;
 
@@ -54,11 +54,11 @@
 } Fingerprints;
 
 /* The first computes only the heads and leaves the bodies 0; the second computes both. */
-Fingerprints fingerprint_heads (const FingerprintKey *key, const FingerprintWords *words);
-Fingerprints fingerprint_all (const FingerprintKey *key, const FingerprintWords *words);
+Fingerprints fingerprint_heads (const FingerprintKey *key, const FingerprintInput *words);
+Fingerprints fingerprint_all (const FingerprintKey *key, const FingerprintInput *words);
 /* Adds the body's digest to fingerprints from fingerprint_heads. */
 void fingerprint_add_body (const FingerprintKey *key,
-                           const FingerprintWords *words,
+                           const FingerprintInput *words,
                            Fingerprints *prints);
 
 gboolean fingerprint_equal (const Fingerprint *a, const Fingerprint *b);
--- a/core/include/core/latency.h
+++ b/core/include/core/latency.h
@@ -22,14 +22,14 @@
 LatencyBook *latency_book_create (void);
 void latency_book_destroy (LatencyBook *book);
 
-/* Adds a good answer on a route, as latency_route identifies it. */
+/* Adds a good answer on a route, as latency_route_id identifies it. */
 void latency_book_add (LatencyBook *book, guint32 route, gint64 took_us);
 
 /* Returns the fit of recent answers on a route; without samples for an unknown route. */
 LatencyFit latency_book_fit (const LatencyBook *book, guint32 route);
 
 /* Returns a route's id, a hash of its name. */
-guint32 latency_route (const char *name);
+guint32 latency_route_id (const char *name);
 
 /* Returns whether a fit has enough samples to be relied on. */
 gboolean latency_fit_is_known (const LatencyFit *fit);
--- a/core/include/core/quarantine.h
+++ b/core/include/core/quarantine.h
@@ -35,7 +35,7 @@
 #include <core/fingerprint.h>
 
 /* Ends that quarantine a request: the limit that the requirements set. */
-#define QUARANTINE_ENDS 3u
+#define QUARANTINE_ENDS_LIMIT 3u
 /* Ends that are closer together count as one event, because a host, a rack or a hall
    fails with many targets at one moment. News of an end is delayed by at most a trip
    between halls, 12 ms. */
@@ -125,10 +125,10 @@
 
 /* Returns whether the list has any entry for this service. If not, its requests need no
    fingerprint. */
-gboolean quarantine_watches (const Quarantine *quarantine, guint32 service);
+gboolean quarantine_has_service (const Quarantine *quarantine, guint32 service);
 /* Returns whether a request with this head is listed. If not, its body needs no digest at
    all. */
-gboolean quarantine_knows_head (const Quarantine *quarantine, guint64 head);
+gboolean quarantine_has_head (const Quarantine *quarantine, guint64 head);
 
 /* Records that a target has ended while these requests (Fingerprint) ran on it. Each
    request must be listed once. */
@@ -186,18 +186,18 @@
 typedef enum
 {
   QUARANTINE_NEWS_NONE,
-  QUARANTINE_NEWS_SOME,  /* of first ends, most of which lead to no quarantine */
-  QUARANTINE_NEWS_URGENT /* of requests that are quarantined, were just cleared, or may
-                            soon be quarantined */
+  QUARANTINE_NEWS_NORMAL, /* of first ends, most of which lead to no quarantine */
+  QUARANTINE_NEWS_URGENT  /* of requests that are quarantined, were just cleared, or may
+                             soon be quarantined */
 } QuarantineUrgency;
 
 /* Takes the news for one message, at most `max` and the most urgent first, and returns
    how many. Each change is sent a limited number of times. */
-guint quarantine_news (Quarantine *quarantine, QuarantineNews *news, guint max);
+guint quarantine_next_news (Quarantine *quarantine, QuarantineNews *news, guint max);
 QuarantineUrgency quarantine_urgency (const Quarantine *quarantine);
 /* Takes up to `max` entries whether or not they have been sent before, the next part of
    the list with each call. */
-guint quarantine_some (Quarantine *quarantine, QuarantineNews *news, guint max);
+guint quarantine_next_part (Quarantine *quarantine, QuarantineNews *news, guint max);
 /* Merges received news. Returns TRUE if it changed the list. */
 gboolean quarantine_merge (Quarantine *quarantine, const QuarantineNews *news);
 /* Returns a digest of the list, equal on nodes with equal lists; 0 for an empty one. */
--- a/core/include/core/succession.h
+++ b/core/include/core/target-starts.h
@@ -15,36 +15,36 @@
 
 #include <core/clock.h>
 
-typedef struct Succession Succession;
+typedef struct TargetStarts TargetStarts;
 
 typedef enum
 {
-  SUCCESSION_LATE, /* ignored: an old heartbeat, or one of a past start */
-  SUCCESSION_SAME, /* from the current start */
-  SUCCESSION_NEXT  /* from a start that has just become current */
-} SuccessionAnswer;
+  TARGET_STARTS_STALE,   /* ignored: an old heartbeat, or one of a past start */
+  TARGET_STARTS_CURRENT, /* from the current start */
+  TARGET_STARTS_NEW      /* from a start that has just become current */
+} TargetStartsResult;
 
 /* `clock` is borrowed. */
-Succession *succession_create (Clock *clock);
-void succession_destroy (Succession *succession);
+TargetStarts *target_starts_create (Clock *clock);
+void target_starts_destroy (TargetStarts *succession);
 
 /*
  * Returns the name of a start: the identifier alone if `born`, its start time in Unix
  * milliseconds, is 0. The caller frees it.
  */
-char *succession_name (const char *identifier, gint64 born);
+char *target_start_name (const char *identifier, gint64 born);
 /* Returns the identifier in the name of a start; the caller frees it. */
-char *succession_identifier (const char *name);
+char *target_start_identifier (const char *name);
 
 /* Processes a heartbeat of the start `name`; `sequence` rises with each heartbeat of a
    start. */
-SuccessionAnswer
-succession_beat (Succession *succession, const char *name, gint64 sequence);
+TargetStartsResult
+target_starts_heartbeat (TargetStarts *succession, const char *name, gint64 sequence);
 
 /* Records that a start has announced its end. */
-void succession_end (Succession *succession, const char *name);
+void target_starts_note_end (TargetStarts *succession, const char *name);
 
 /* Returns the name of the current start; NULL before the first heartbeat. */
-const char *succession_present (const Succession *succession);
+const char *target_starts_current (const TargetStarts *succession);
 
 #endif
--- a/core/src/health/detector.c
+++ b/core/src/health/detector.c
@@ -29,7 +29,7 @@
 /* When a target becomes sick, and how it recovers. */
 typedef struct
 {
-  gboolean breaks_tell; /* one broken exchange is sufficient evidence */
+  gboolean eject_on_break; /* one broken exchange is sufficient evidence */
   gint64 hold_us; /* initial ejection time; good trials end it after half of it at the
                      earliest */
   guint
@@ -138,7 +138,7 @@
 }
 
 static void
-remember (Detector *detector, const DetectorSample *sample)
+record_sample (Detector *detector, const DetectorSample *sample)
 {
   guint place = detector->seen++ % WINDOW;
 
@@ -153,7 +153,7 @@
 }
 
 static void
-fall_sick (Detector *detector)
+mark_sick (Detector *detector)
 {
   gint64 now = clock_now (detector->clock);
 
@@ -216,7 +216,7 @@
 
 /* Adds a healthy target's sample to the evidence. */
 static void
-gather (Detector *detector, const DetectorInput *input)
+add_evidence (Detector *detector, const DetectorInput *input)
 {
   if (detector->confirming && clock_now (detector->clock) < detector->confirm_from_us)
     return;
@@ -259,7 +259,7 @@
   if (reference > 0)
     input.latency_ratio = (double)sample->took_us / reference;
   input.reference_failures = sample->sibling_ppm / PPM;
-  remember (detector, sample);
+  record_sample (detector, sample);
   if (detector->severity > 0 && input.failed && stale)
     return FALSE;
   if (detector->severity > 0)
@@ -267,9 +267,9 @@
       judge_trial (detector, &input);
       return TRUE;
     }
-  gather (detector, &input);
+  add_evidence (detector, &input);
   update_baseline (detector, sample);
-  if (sample->broken && detector->life->breaks_tell)
+  if (sample->broken && detector->life->eject_on_break)
     detector->evidence.failures =
         MAX (detector->evidence.failures, detector->bounds.failure_bound);
   severity = weigh (detector);
@@ -277,7 +277,7 @@
     return TRUE;
   detector->severity = severity;
   detector->abrupt = sample->broken && sample->took_us <= ABRUPT_US;
-  fall_sick (detector);
+  mark_sick (detector);
   return TRUE;
 }
 
--- a/core/src/health/shedding.c
+++ b/core/src/health/shedding.c
@@ -6,7 +6,7 @@
 #define HOLD_US (2 * SECOND_US)
 /* Time for a target that keeps refusing: longer, because each change is gossiped to the
    whole fleet. */
-#define HOLD_LONG_US (4 * SECOND_US)
+#define HOLD_REPEATED_US (4 * SECOND_US)
 
 struct Shedding
 {
@@ -20,7 +20,7 @@
   Shedding *shedding = g_new0 (Shedding, 1);
 
   shedding->clock = clock;
-  shedding->until_us = clock_now (clock) - HOLD_LONG_US;
+  shedding->until_us = clock_now (clock) - HOLD_REPEATED_US;
   return shedding;
 }
 
@@ -36,7 +36,7 @@
   gint64 now = clock_now (shedding->clock);
   gboolean again = now - shedding->until_us < HOLD_US;
 
-  shedding->until_us = now + (again ? HOLD_LONG_US : HOLD_US);
+  shedding->until_us = now + (again ? HOLD_REPEATED_US : HOLD_US);
 }
 
 gboolean
--- a/core/src/health/succession.c
+++ b/core/src/health/target-starts.c
@@ -1,15 +1,15 @@
-#include <core/succession.h>
+#include <core/target-starts.h>
 
 #include <string.h>
 
 /* Number of past starts whose names are remembered: at most one ends every few seconds,
    and heartbeats are late by seconds. */
-#define OVER_MAX 64u
+#define PAST_STARTS_MAX 64u
 /* Twice the heartbeat interval of 1.5 s in the reference deployment: a start that is
    silent for this long has missed a heartbeat. */
 #define SILENCE_US (3 * SECOND_US)
 /* Heartbeats after which a replaced start may become current again. */
-#define RETURN_BEATS 2u
+#define RETURN_HEARTBEATS 2u
 
 /* Separates the identifier from the start time in hexadecimal in the name of a start. */
 #define BORN_MARK ".b"
@@ -22,12 +22,12 @@
   guint beats;     /* heartbeats since it was replaced */
 } Start;
 
-struct Succession
+struct TargetStarts
 {
   Clock *clock;
-  Start *present; /* NULL before the first heartbeat */
-  gint64 beat_us; /* when the current start was last heard from */
-  GQueue over;    /* of Start, oldest first */
+  Start *present;           /* NULL before the first heartbeat */
+  gint64 last_heartbeat_us; /* when the current start was last heard from */
+  GQueue over;              /* of Start, oldest first */
 };
 
 static Start *
@@ -50,7 +50,7 @@
 
 /* Returns the position of the mark in a name, or NULL. */
 static const char *
-born_mark (const char *name)
+find_born_mark (const char *name)
 {
   const char *mark = g_strrstr (name, BORN_MARK);
   gsize digits = mark ? strspn (mark + strlen (BORN_MARK), "0123456789abcdef") : 0;
@@ -59,20 +59,20 @@
 }
 
 char *
-succession_name (const char *identifier, gint64 born)
+target_start_name (const char *identifier, gint64 born)
 {
   /* An identifier that looks like a name with a start time gets a start time of 0, so
-     that succession_identifier returns it unchanged. */
-  if (born == 0 && !born_mark (identifier))
+     that target_start_identifier returns it unchanged. */
+  if (born == 0 && !find_born_mark (identifier))
     return g_strdup (identifier);
   return g_strdup_printf ("%s" BORN_MARK "%" G_GINT64_MODIFIER "x", identifier,
                           (guint64)born);
 }
 
 char *
-succession_identifier (const char *name)
+target_start_identifier (const char *name)
 {
-  const char *mark = born_mark (name);
+  const char *mark = find_born_mark (name);
 
   return mark ? g_strndup (name, (gsize)(mark - name)) : g_strdup (name);
 }
@@ -80,7 +80,7 @@
 static gint64
 born_of (const char *name)
 {
-  const char *mark = born_mark (name);
+  const char *mark = find_born_mark (name);
 
   return mark ? (gint64)g_ascii_strtoull (mark + strlen (BORN_MARK), NULL, 16) : 0;
 }
@@ -89,16 +89,16 @@
 static gboolean
 is_earlier (const char *name, const char *other)
 {
-  g_autofree char *identifier = succession_identifier (name);
-  g_autofree char *others = succession_identifier (other);
+  g_autofree char *identifier = target_start_identifier (name);
+  g_autofree char *others = target_start_identifier (other);
 
   return strcmp (identifier, others) == 0 && born_of (name) < born_of (other);
 }
 
-Succession *
-succession_create (Clock *clock)
+TargetStarts *
+target_starts_create (Clock *clock)
 {
-  Succession *succession = g_new0 (Succession, 1);
+  TargetStarts *succession = g_new0 (TargetStarts, 1);
 
   succession->clock = clock;
   g_queue_init (&succession->over);
@@ -106,7 +106,7 @@
 }
 
 void
-succession_destroy (Succession *succession)
+target_starts_destroy (TargetStarts *succession)
 {
   if (!succession)
     return;
@@ -117,13 +117,13 @@
 }
 
 const char *
-succession_present (const Succession *succession)
+target_starts_current (const TargetStarts *succession)
 {
   return succession->present ? succession->present->name : NULL;
 }
 
 static Start *
-find_over (Succession *succession, const char *name)
+find_past_start (TargetStarts *succession, const char *name)
 {
   for (GList *item = succession->over.head; item; item = item->next)
     if (strcmp (((Start *)item->data)->name, name) == 0)
@@ -132,27 +132,27 @@
 }
 
 static void
-put_over (Succession *succession, Start *start)
+add_past_start (TargetStarts *succession, Start *start)
 {
   start->beats = 0;
   g_queue_push_tail (&succession->over, start);
-  if (g_queue_get_length (&succession->over) > OVER_MAX)
+  if (g_queue_get_length (&succession->over) > PAST_STARTS_MAX)
     start_free (g_queue_pop_head (&succession->over));
 }
 
 static void
-make_present (Succession *succession, Start *start, gint64 sequence)
+make_current (TargetStarts *succession, Start *start, gint64 sequence)
 {
   if (succession->present)
-    put_over (succession, succession->present);
+    add_past_start (succession, succession->present);
   start->sequence = sequence;
   succession->present = start;
-  succession->beat_us = clock_now (succession->clock);
+  succession->last_heartbeat_us = clock_now (succession->clock);
 }
 
 /* Returns whether a later start of the same identifier is known. */
 static gboolean
-is_over (const Succession *succession, const char *name)
+is_over (const TargetStarts *succession, const char *name)
 {
   if (succession->present && is_earlier (name, succession->present->name))
     return TRUE;
@@ -164,19 +164,19 @@
 
 /* Returns whether a replaced start continues while the current one is silent. */
 static gboolean
-returns (const Succession *succession, Start *start, gint64 sequence)
+returns (const TargetStarts *succession, Start *start, gint64 sequence)
 {
-  gint64 silence = clock_now (succession->clock) - succession->beat_us;
+  gint64 silence = clock_now (succession->clock) - succession->last_heartbeat_us;
 
   if (start->ended || sequence <= start->sequence)
     return FALSE;
   start->sequence = sequence;
   start->beats++;
-  return start->beats >= RETURN_BEATS && silence >= SILENCE_US;
+  return start->beats >= RETURN_HEARTBEATS && silence >= SILENCE_US;
 }
 
-SuccessionAnswer
-succession_beat (Succession *succession, const char *name, gint64 sequence)
+TargetStartsResult
+target_starts_heartbeat (TargetStarts *succession, const char *name, gint64 sequence)
 {
   Start *present = succession->present;
   Start *over;
@@ -184,33 +184,33 @@
   if (present && strcmp (present->name, name) == 0)
     {
       if (sequence <= present->sequence)
-        return SUCCESSION_LATE;
+        return TARGET_STARTS_STALE;
       present->sequence = sequence;
-      succession->beat_us = clock_now (succession->clock);
-      return SUCCESSION_SAME;
+      succession->last_heartbeat_us = clock_now (succession->clock);
+      return TARGET_STARTS_CURRENT;
     }
   if (is_over (succession, name))
-    return SUCCESSION_LATE;
-  over = find_over (succession, name);
+    return TARGET_STARTS_STALE;
+  over = find_past_start (succession, name);
   if (over && !returns (succession, over, sequence))
-    return SUCCESSION_LATE;
+    return TARGET_STARTS_STALE;
   if (over)
     g_queue_remove (&succession->over, over);
-  make_present (succession, over ? over : start_create (name), sequence);
-  return SUCCESSION_NEXT;
+  make_current (succession, over ? over : start_create (name), sequence);
+  return TARGET_STARTS_NEW;
 }
 
 void
-succession_end (Succession *succession, const char *name)
+target_starts_note_end (TargetStarts *succession, const char *name)
 {
-  Start *start = find_over (succession, name);
+  Start *start = find_past_start (succession, name);
 
   if (succession->present && strcmp (succession->present->name, name) == 0)
     start = succession->present;
   if (!start)
     {
       start = start_create (name);
-      put_over (succession, start);
+      add_past_start (succession, start);
     }
   start->ended = TRUE;
 }
--- a/core/src/request/allowance-book.c
+++ b/core/src/request/allowance-book.c
@@ -78,7 +78,7 @@
   return (gint64)CLAMP (MAX (next, turn) * SECOND_US, RETRY_MIN_US, RETRY_MAX_US);
 }
 
-AllowanceLoan
+AllowanceGrant
 allowance_book_lend (AllowanceBook *book,
                      const char *account,
                      const AllowanceTerms *terms,
@@ -88,18 +88,18 @@
 {
   AllowanceRate rate = allowance_rate (&book->rule, terms, share);
   Bucket *bucket = bucket_of (book, account, since_us);
-  AllowanceLoan loan = { 0 };
+  AllowanceGrant grant = { 0 };
 
   fill (bucket, &rate, clock_now (book->clock));
-  loan.lent = (guint)MIN ((double)wanted, floor (MAX (bucket->level, 0)));
-  bucket->level -= loan.lent;
-  if (loan.lent < wanted)
-    loan.retry_after_us = retry_after_us (bucket, &rate);
-  return loan;
+  grant.lent = (guint)MIN ((double)wanted, floor (MAX (bucket->level, 0)));
+  bucket->level -= grant.lent;
+  if (grant.lent < wanted)
+    grant.retry_after_us = retry_after_us (bucket, &rate);
+  return grant;
 }
 
 void
-allowance_book_prune (AllowanceBook *book, AllowanceIsOwn is_own, gpointer data)
+allowance_book_prune (AllowanceBook *book, AllowanceIsLender is_own, gpointer data)
 {
   gint64 now = clock_now (book->clock);
   GHashTableIter iter;
--- a/core/src/request/allowance.c
+++ b/core/src/request/allowance.c
@@ -52,11 +52,11 @@
    become the best so far: with the nodes' precomputed hashes, selecting all three lenders
    in a fleet of 1,200 takes 7 us. */
 static const AllowanceNode *
-best_of (const GArray *nodes,
-         guint64 account,
-         const AllowanceNode *const *taken,
-         guint count,
-         gboolean new_hall)
+best_remaining (const GArray *nodes,
+                guint64 account,
+                const AllowanceNode *const *taken,
+                guint count,
+                gboolean new_hall)
 {
   const AllowanceNode *best = NULL;
   const char *names[ALLOWANCE_LENDERS];
@@ -81,9 +81,9 @@
 }
 
 guint
-allowance_lenders (const GArray *nodes,
-                   const char *account,
-                   const char *lenders[ALLOWANCE_LENDERS])
+allowance_select_lenders (const GArray *nodes,
+                          const char *account,
+                          const char *lenders[ALLOWANCE_LENDERS])
 {
   const AllowanceNode *taken[ALLOWANCE_LENDERS];
   guint64 hash = allowance_hash (account);
@@ -91,10 +91,10 @@
 
   while (count < ALLOWANCE_LENDERS)
     {
-      const AllowanceNode *best = best_of (nodes, hash, taken, count, TRUE);
+      const AllowanceNode *best = best_remaining (nodes, hash, taken, count, TRUE);
 
       if (!best)
-        best = best_of (nodes, hash, taken, count, FALSE);
+        best = best_remaining (nodes, hash, taken, count, FALSE);
       if (!best)
         break;
       taken[count] = best;
--- a/core/src/request/fingerprint.c
+++ b/core/src/request/fingerprint.c
@@ -52,7 +52,7 @@
 }
 
 static guint64
-head_of (const FingerprintKey *key, const FingerprintWords *words)
+head_of (const FingerprintKey *key, const FingerprintInput *words)
 {
   GHmac *hmac = g_hmac_copy (key->keyed);
   guint64 length = GUINT64_TO_BE ((guint64)words->body_len);
@@ -67,7 +67,7 @@
 }
 
 static guint64
-body_of (const FingerprintKey *key, const FingerprintWords *words)
+body_of (const FingerprintKey *key, const FingerprintInput *words)
 {
   GHmac *hmac;
 
@@ -79,11 +79,11 @@
 }
 
 Fingerprints
-fingerprint_heads (const FingerprintKey *key, const FingerprintWords *words)
+fingerprint_heads (const FingerprintKey *key, const FingerprintInput *words)
 {
   Fingerprints prints = { .count = 1 };
   const char *query = words->path ? strchr (words->path, '?') : NULL;
-  FingerprintWords alone = *words;
+  FingerprintInput alone = *words;
   g_autofree char *path = NULL;
 
   prints.of[0].head = head_of (key, words);
@@ -98,7 +98,7 @@
 
 void
 fingerprint_add_body (const FingerprintKey *key,
-                      const FingerprintWords *words,
+                      const FingerprintInput *words,
                       Fingerprints *prints)
 {
   guint64 body = body_of (key, words);
@@ -108,7 +108,7 @@
 }
 
 Fingerprints
-fingerprint_all (const FingerprintKey *key, const FingerprintWords *words)
+fingerprint_all (const FingerprintKey *key, const FingerprintInput *words)
 {
   Fingerprints prints = fingerprint_heads (key, words);
 
--- a/core/src/request/latency-views.c
+++ b/core/src/request/latency-views.c
@@ -10,18 +10,18 @@
 {
   guint target; /* hash of its name */
   LatencyFit fit;
-} Word;
+} TargetFit;
 
 typedef struct
 {
-  Word words[TARGETS_MAX];
+  TargetFit words[TARGETS_MAX];
   guint count;
   guint next; /* index for the next new target */
-} RouteView;
+} RouteFits;
 
 struct LatencyViews
 {
-  GHashTable *routes; /* id → RouteView */
+  GHashTable *routes; /* id → RouteFits */
 };
 
 LatencyViews *
@@ -42,10 +42,10 @@
   g_free (views);
 }
 
-static Word *
-word_of (RouteView *view, guint target)
+static TargetFit *
+target_fit_of (RouteFits *view, guint target)
 {
-  Word *word;
+  TargetFit *word;
 
   for (guint i = 0; i < view->count; i++)
     if (view->words[i].target == target)
@@ -63,12 +63,12 @@
                     const char *target,
                     const LatencyFit *fit)
 {
-  RouteView *view;
+  RouteFits *view;
 
   if (fit->samples == 0)
     return;
   view = latency_routes_get (views->routes, route, sizeof *view);
-  word_of (view, g_str_hash (target))->fit = *fit;
+  target_fit_of (view, g_str_hash (target))->fit = *fit;
 }
 
 static gint
@@ -90,7 +90,7 @@
 LatencyFit
 latency_views_fit (const LatencyViews *views, guint32 route)
 {
-  const RouteView *view = g_hash_table_lookup (views->routes, GUINT_TO_POINTER (route));
+  const RouteFits *view = g_hash_table_lookup (views->routes, GUINT_TO_POINTER (route));
   double means[TARGETS_MAX];
   double sds[TARGETS_MAX];
   LatencyFit fit = { 0 };
--- a/core/src/request/latency.c
+++ b/core/src/request/latency.c
@@ -92,7 +92,7 @@
 }
 
 guint32
-latency_route (const char *name)
+latency_route_id (const char *name)
 {
   return g_str_hash (name);
 }
--- a/core/src/request/quarantine-blame.c
+++ b/core/src/request/quarantine-blame.c
@@ -22,14 +22,14 @@
           (counts && !counts (quarantine, entry, end->id)))
         continue;
       moment = end->at_us;
-      if (++count == QUARANTINE_ENDS)
+      if (++count == QUARANTINE_ENDS_LIMIT)
         *decisive_us = moment;
     }
   return count;
 }
 
 static guint
-all_moments (const QuarantineEntry *entry)
+count_all_moments (const QuarantineEntry *entry)
 {
   gint64 decisive_us;
 
@@ -37,7 +37,7 @@
 }
 
 static gboolean
-was_at (const QuarantineEntry *entry, guint32 end)
+has_end (const QuarantineEntry *entry, guint32 end)
 {
   for (guint i = 0; i < entry->end_count; i++)
     if (entry->ends[i].id == end)
@@ -51,23 +51,23 @@
 static gboolean
 is_own (const Quarantine *quarantine, const QuarantineEntry *entry, guint32 end)
 {
-  guint own = all_moments (entry);
+  guint own = count_all_moments (entry);
 
   for (guint i = 0; i < quarantine->entries->len; i++)
     {
       const QuarantineEntry *other =
           &g_array_index (quarantine->entries, QuarantineEntry, i);
 
-      if (other != entry && was_at (other, end) && all_moments (other) > own)
+      if (other != entry && has_end (other, end) && count_all_moments (other) > own)
         return FALSE;
     }
   return TRUE;
 }
 
 guint
-quarantine_moments (const Quarantine *quarantine,
-                    const QuarantineEntry *entry,
-                    gint64 *decisive_us)
+quarantine_count_moments (const Quarantine *quarantine,
+                          const QuarantineEntry *entry,
+                          gint64 *decisive_us)
 {
   return count_moments (quarantine, entry, is_own, decisive_us);
 }
--- a/core/src/request/quarantine-list.c
+++ b/core/src/request/quarantine-list.c
@@ -13,7 +13,7 @@
 
   quarantine->clock = clock;
   quarantine->entries = g_array_new (FALSE, TRUE, sizeof (QuarantineEntry));
-  quarantine->tellings = g_array_new (FALSE, TRUE, sizeof (guint));
+  quarantine->remaining_sends = g_array_new (FALSE, TRUE, sizeof (guint));
   return quarantine;
 }
 
@@ -23,7 +23,7 @@
   if (!quarantine)
     return;
   g_array_unref (quarantine->entries);
-  g_array_unref (quarantine->tellings);
+  g_array_unref (quarantine->remaining_sends);
   g_free (quarantine);
 }
 
@@ -53,7 +53,7 @@
 }
 
 gboolean
-quarantine_watches (const Quarantine *quarantine, guint32 service)
+quarantine_has_service (const Quarantine *quarantine, guint32 service)
 {
   for (guint i = 0; i < quarantine->entries->len; i++)
     if (quarantine_entry_at (quarantine, i)->service == service)
@@ -62,7 +62,7 @@
 }
 
 gboolean
-quarantine_knows_head (const Quarantine *quarantine, guint64 head)
+quarantine_has_head (const Quarantine *quarantine, guint64 head)
 {
   for (guint i = 0; i < quarantine->entries->len; i++)
     if (quarantine_entry_at (quarantine, i)->request.head == head)
@@ -80,15 +80,15 @@
 }
 
 void
-quarantine_forget (Quarantine *quarantine, guint i)
+quarantine_remove_at (Quarantine *quarantine, guint i)
 {
   g_array_remove_index_fast (quarantine->entries, i);
-  g_array_remove_index_fast (quarantine->tellings, i);
+  g_array_remove_index_fast (quarantine->remaining_sends, i);
 }
 
 /* Orders entries for eviction; all nodes decide alike. */
 static gboolean
-matters_less (const QuarantineEntry *entry, const QuarantineEntry *other)
+is_evicted_before (const QuarantineEntry *entry, const QuarantineEntry *other)
 {
   if (!entry->held_us != !other->held_us)
     return !entry->held_us;
@@ -108,25 +108,25 @@
   if (quarantine->entries->len < QUARANTINE_ENTRIES_MAX)
     return TRUE;
   for (guint i = 1; i < quarantine->entries->len; i++)
-    if (matters_less (quarantine_entry_at (quarantine, i),
-                      quarantine_entry_at (quarantine, least)))
+    if (is_evicted_before (quarantine_entry_at (quarantine, i),
+                           quarantine_entry_at (quarantine, least)))
       least = i;
-  if (matters_less (rank, quarantine_entry_at (quarantine, least)))
+  if (is_evicted_before (rank, quarantine_entry_at (quarantine, least)))
     return FALSE;
-  quarantine_forget (quarantine, least);
+  quarantine_remove_at (quarantine, least);
   return TRUE;
 }
 
 QuarantineEntry *
-quarantine_make (Quarantine *quarantine, const QuarantineEntry *rank)
+quarantine_add_entry (Quarantine *quarantine, const QuarantineEntry *rank)
 {
   QuarantineEntry fresh = { .request = rank->request, .service = rank->service };
-  guint tellings = 0;
+  guint remaining_sends = 0;
 
   if (!make_room (quarantine, rank))
     return NULL;
   g_array_append_val (quarantine->entries, fresh);
-  g_array_append_val (quarantine->tellings, tellings);
+  g_array_append_val (quarantine->remaining_sends, remaining_sends);
   return quarantine_entry_at (quarantine, quarantine->entries->len - 1);
 }
 
@@ -137,17 +137,19 @@
 }
 
 void
-quarantine_tell (Quarantine *quarantine, const QuarantineEntry *entry, gboolean urgent)
+quarantine_schedule_news (Quarantine *quarantine,
+                          const QuarantineEntry *entry,
+                          gboolean urgent)
 {
   guint i = (guint)(entry - quarantine_entry_at (quarantine, 0));
 
-  g_array_index (quarantine->tellings, guint, i) =
-      urgent ? QUARANTINE_TELLINGS_URGENT : QUARANTINE_TELLINGS;
+  g_array_index (quarantine->remaining_sends, guint, i) =
+      urgent ? QUARANTINE_SENDS_URGENT : QUARANTINE_SENDS_NORMAL;
 }
 
 /* Returns the index that keeps the ends sorted by time. */
 static guint
-place_of (const QuarantineEntry *entry, const QuarantineEnd *end)
+end_index (const QuarantineEntry *entry, const QuarantineEnd *end)
 {
   guint i = entry->end_count;
 
@@ -167,7 +169,7 @@
 static void
 insert_end (QuarantineEntry *entry, const QuarantineEnd *end)
 {
-  guint place = place_of (entry, end);
+  guint place = end_index (entry, end);
 
   memmove (&entry->ends[place + 1], &entry->ends[place],
            (entry->end_count - place) * sizeof *entry->ends);
@@ -220,7 +222,7 @@
 }
 
 void
-quarantine_hold (Quarantine *quarantine, QuarantineEntry *entry, gint64 at_us)
+quarantine_set_held (Quarantine *quarantine, QuarantineEntry *entry, gint64 at_us)
 {
   entry->held_us = at_us;
   entry->due_us = at_us;
--- a/core/src/request/quarantine-news.c
+++ b/core/src/request/quarantine-news.c
@@ -35,47 +35,48 @@
 {
   QuarantineUrgency urgency = QUARANTINE_NEWS_NONE;
 
-  for (guint i = 0; i < quarantine->tellings->len; i++)
+  for (guint i = 0; i < quarantine->remaining_sends->len; i++)
     {
-      guint left = g_array_index (quarantine->tellings, guint, i);
+      guint left = g_array_index (quarantine->remaining_sends, guint, i);
 
-      if (left > QUARANTINE_TELLINGS)
+      if (left > QUARANTINE_SENDS_NORMAL)
         return QUARANTINE_NEWS_URGENT;
       if (left > 0)
-        urgency = QUARANTINE_NEWS_SOME;
+        urgency = QUARANTINE_NEWS_NORMAL;
     }
   return urgency;
 }
 
 /* Returns the index of the entry that has most sends left, or -1 if no entry has any. */
 static gint
-least_told (const Quarantine *quarantine, const gboolean *taken)
+most_sends_left (const Quarantine *quarantine, const gboolean *taken)
 {
   gint best = -1;
 
-  for (guint i = 0; i < quarantine->tellings->len; i++)
+  for (guint i = 0; i < quarantine->remaining_sends->len; i++)
     {
-      guint left = g_array_index (quarantine->tellings, guint, i);
+      guint left = g_array_index (quarantine->remaining_sends, guint, i);
 
       if (left == 0 || taken[i])
         continue;
-      if (best < 0 || left > g_array_index (quarantine->tellings, guint, (guint)best))
+      if (best < 0 ||
+          left > g_array_index (quarantine->remaining_sends, guint, (guint)best))
         best = (gint)i;
     }
   return best;
 }
 
 guint
-quarantine_news (Quarantine *quarantine, QuarantineNews *news, guint max)
+quarantine_next_news (Quarantine *quarantine, QuarantineNews *news, guint max)
 {
   gboolean taken[QUARANTINE_ENTRIES_MAX] = { FALSE };
   guint count = 0;
   gint next;
 
-  while (count < max && (next = least_told (quarantine, taken)) >= 0)
+  while (count < max && (next = most_sends_left (quarantine, taken)) >= 0)
     {
       taken[next] = TRUE;
-      g_array_index (quarantine->tellings, guint, (guint)next)--;
+      g_array_index (quarantine->remaining_sends, guint, (guint)next)--;
       write_news (quarantine,
                   &g_array_index (quarantine->entries, QuarantineEntry, (guint)next),
                   &news[count++]);
@@ -84,7 +85,7 @@
 }
 
 guint
-quarantine_some (Quarantine *quarantine, QuarantineNews *news, guint max)
+quarantine_next_part (Quarantine *quarantine, QuarantineNews *news, guint max)
 {
   guint len = quarantine->entries->len;
   guint count = MIN (len, max);
@@ -92,9 +93,9 @@
   for (guint i = 0; i < count; i++)
     write_news (quarantine,
                 &g_array_index (quarantine->entries, QuarantineEntry,
-                                (quarantine->next_some + i) % len),
+                                (quarantine->next_part_start + i) % len),
                 &news[i]);
-  quarantine->next_some = len ? (quarantine->next_some + count) % len : 0;
+  quarantine->next_part_start = len ? (quarantine->next_part_start + count) % len : 0;
   return count;
 }
 
@@ -144,12 +145,12 @@
 {
   if (news->held_age_us < 0 || entry->held_us)
     return FALSE;
-  quarantine_hold (quarantine, entry, now - news->held_age_us);
+  quarantine_set_held (quarantine, entry, now - news->held_age_us);
   return TRUE;
 }
 
 static gboolean
-merge_turn (QuarantineEntry *entry, const QuarantineNews *news, gint64 now)
+merge_trial_schedule (QuarantineEntry *entry, const QuarantineNews *news, gint64 now)
 {
   if (news->turn <= entry->turn)
     return FALSE;
@@ -161,15 +162,15 @@
 
 /* Merges news of the entry's current epoch. */
 static gboolean
-merge_present (Quarantine *quarantine,
-               QuarantineEntry *entry,
-               const QuarantineNews *news,
-               gint64 now)
+merge_current_epoch (Quarantine *quarantine,
+                     QuarantineEntry *entry,
+                     const QuarantineNews *news,
+                     gint64 now)
 {
   gboolean any = merge_ends (entry, news, now);
 
   any |= merge_hold (quarantine, entry, news, now);
-  any |= merge_turn (entry, news, now);
+  any |= merge_trial_schedule (entry, news, now);
   if (!entry->version)
     entry->version = news->version;
   return any;
@@ -178,7 +179,7 @@
 /* Creates an entry for news of an unlisted request. Returns NULL if the news is stale or
    the list is full of entries that matter more. */
 static QuarantineEntry *
-make_for (Quarantine *quarantine, const QuarantineNews *news, gint64 now)
+add_entry_for_news (Quarantine *quarantine, const QuarantineNews *news, gint64 now)
 {
   QuarantineEntry rank = { .request = news->request,
                            .service = news->service,
@@ -189,7 +190,7 @@
     return NULL;
   for (guint i = 0; i < news->end_count; i++)
     rank.last_end_us = MAX (rank.last_end_us, now - news->end_ages_us[i]);
-  return quarantine_make (quarantine, &rank);
+  return quarantine_add_entry (quarantine, &rank);
 }
 
 /* Returns TRUE if the news changed the entry. */
@@ -209,7 +210,7 @@
                         now - MAX (news->cleared_age_us, 0));
       any = TRUE;
     }
-  return merge_present (quarantine, entry, news, now) || any;
+  return merge_current_epoch (quarantine, entry, news, now) || any;
 }
 
 gboolean
@@ -223,14 +224,14 @@
   if (!is_plausible (news))
     return FALSE;
   if (!known)
-    entry = make_for (quarantine, news, now);
+    entry = add_entry_for_news (quarantine, news, now);
   if (!entry)
     return FALSE;
   urgent = quarantine_is_urgent (entry);
   /* A new entry is always forwarded. */
   if (!merge_into (quarantine, entry, news, now) && known)
     return FALSE;
-  quarantine_tell (quarantine, entry, urgent || quarantine_is_urgent (entry));
+  quarantine_schedule_news (quarantine, entry, urgent || quarantine_is_urgent (entry));
   return TRUE;
 }
 
--- a/core/src/request/quarantine-private.h
+++ b/core/src/request/quarantine-private.h
@@ -11,15 +11,16 @@
 struct Quarantine
 {
   Clock *clock;
-  GArray *entries;  /* of QuarantineEntry */
-  GArray *tellings; /* of guint, one per entry: how often its news is still to be sent */
-  guint next_some;
+  GArray *entries;         /* of QuarantineEntry */
+  GArray *remaining_sends; /* of guint, one per entry: how often its news is still to be
+                              sent */
+  guint next_part_start;
   QuarantineChanged changed;
   gpointer data;
 };
 
 QuarantineEntry *quarantine_entry_at (const Quarantine *quarantine, guint i);
-void quarantine_forget (Quarantine *quarantine, guint i);
+void quarantine_remove_at (Quarantine *quarantine, guint i);
 
 /* Returns the entry of a request, or NULL. The pointer is valid until an entry is added
    or removed. */
@@ -28,7 +29,8 @@
 /* Adds an entry for a request that has none. `rank` holds its identity and what will be
    known about it, for comparison with others. Returns NULL if the list is full of entries
    that matter more. */
-QuarantineEntry *quarantine_make (Quarantine *quarantine, const QuarantineEntry *rank);
+QuarantineEntry *quarantine_add_entry (Quarantine *quarantine,
+                                       const QuarantineEntry *rank);
 
 /* Adds an end unless it is listed already. Returns TRUE if it was added. */
 gboolean quarantine_add_end (QuarantineEntry *entry, const QuarantineEnd *end);
@@ -38,23 +40,24 @@
                        guint32 epoch,
                        gint64 at_us);
 /* Quarantines the request as of `at_us`. */
-void quarantine_hold (Quarantine *quarantine, QuarantineEntry *entry, gint64 at_us);
+void quarantine_set_held (Quarantine *quarantine, QuarantineEntry *entry, gint64 at_us);
 
 /* How often news is sent, if urgent and if not. Messages that get lost are repaired by
    the comparison of digests. */
-#define QUARANTINE_TELLINGS_URGENT 12u
-#define QUARANTINE_TELLINGS 4u
+#define QUARANTINE_SENDS_URGENT 12u
+#define QUARANTINE_SENDS_NORMAL 4u
 
 /* Schedules an entry's news to be sent after a change. */
-void
-quarantine_tell (Quarantine *quarantine, const QuarantineEntry *entry, gboolean urgent);
+void quarantine_schedule_news (Quarantine *quarantine,
+                               const QuarantineEntry *entry,
+                               gboolean urgent);
 /* Returns whether what is known of the entry now is urgent. */
 gboolean quarantine_is_urgent (const QuarantineEntry *entry);
 
 /* Returns the number of distinct moments with an end that counts against the entry. Sets
-   `decisive_us` to that of the QUARANTINE_ENDS-th, if there are so many. */
-guint quarantine_moments (const Quarantine *quarantine,
-                          const QuarantineEntry *entry,
-                          gint64 *decisive_us);
+   `decisive_us` to that of the QUARANTINE_ENDS_LIMIT-th, if there are so many. */
+guint quarantine_count_moments (const Quarantine *quarantine,
+                                const QuarantineEntry *entry,
+                                gint64 *decisive_us);
 
 #endif
--- a/core/src/request/quarantine.c
+++ b/core/src/request/quarantine.c
@@ -11,7 +11,7 @@
 
 /* An end of a quarantined request counts against no other. */
 static gboolean
-any_is_held (const Quarantine *quarantine, const GArray *requests)
+any_held (const Quarantine *quarantine, const GArray *requests)
 {
   for (guint i = 0; i < requests->len; i++)
     {
@@ -37,12 +37,12 @@
   rank.end_count = 1;
   rank.last_end_us = end->at_us;
   if (!entry)
-    entry = quarantine_make (quarantine, &rank);
+    entry = quarantine_add_entry (quarantine, &rank);
   if (!entry)
     return;
   entry->version = version;
   if (quarantine_add_end (entry, end))
-    quarantine_tell (quarantine, entry, quarantine_is_urgent (entry));
+    quarantine_schedule_news (quarantine, entry, quarantine_is_urgent (entry));
 }
 
 void
@@ -53,7 +53,7 @@
                      const GArray *requests)
 {
   QuarantineEnd fact = { end, clock_now (quarantine->clock) };
-  gboolean held = any_is_held (quarantine, requests);
+  gboolean held = any_held (quarantine, requests);
   guint room = QUARANTINE_WORK_MAX;
 
   /* Listed requests are counted first: when more requests were running than one end
@@ -79,7 +79,7 @@
   gboolean urgent = quarantine_is_urgent (entry);
 
   quarantine_clear (quarantine, entry, entry->epoch + 1, clock_now (quarantine->clock));
-  quarantine_tell (quarantine, entry, urgent);
+  quarantine_schedule_news (quarantine, entry, urgent);
 }
 
 gboolean
@@ -99,12 +99,13 @@
   gint64 decisive_us = 0;
 
   /* Most entries have one end; this skips the comparison with other entries for them. */
-  if (entry->held_us || entry->end_count < QUARANTINE_ENDS ||
-      quarantine_moments (quarantine, entry, &decisive_us) < QUARANTINE_ENDS ||
+  if (entry->held_us || entry->end_count < QUARANTINE_ENDS_LIMIT ||
+      quarantine_count_moments (quarantine, entry, &decisive_us) <
+          QUARANTINE_ENDS_LIMIT ||
       now < decisive_us + QUARANTINE_SETTLE_US)
     return;
-  quarantine_hold (quarantine, entry, now);
-  quarantine_tell (quarantine, entry, TRUE);
+  quarantine_set_held (quarantine, entry, now);
+  quarantine_schedule_news (quarantine, entry, TRUE);
 }
 
 static gboolean
@@ -124,7 +125,7 @@
 
   for (guint i = quarantine->entries->len; i-- > 0;)
     if (is_old (quarantine_entry_at (quarantine, i), now))
-      quarantine_forget (quarantine, i);
+      quarantine_remove_at (quarantine, i);
   for (guint i = 0; i < quarantine->entries->len; i++)
     hold_if_settled (quarantine, quarantine_entry_at (quarantine, i), now);
 }
@@ -146,10 +147,10 @@
       verdict.retry_after_us = MAX (entry->due_us - now, 0);
       return verdict;
     }
-  verdict.state =
-      quarantine_moments (quarantine, entry, &decisive_us) + 1 >= QUARANTINE_ENDS
-          ? QUARANTINE_DOUBTED
-          : QUARANTINE_SUSPECT;
+  verdict.state = quarantine_count_moments (quarantine, entry, &decisive_us) + 1 >=
+                          QUARANTINE_ENDS_LIMIT
+                      ? QUARANTINE_DOUBTED
+                      : QUARANTINE_SUSPECT;
   return verdict;
 }
 
@@ -164,12 +165,15 @@
 }
 
 static void
-set_due (Quarantine *quarantine, QuarantineEntry *entry, guint trials, gint64 due_us)
+schedule_trial (Quarantine *quarantine,
+                QuarantineEntry *entry,
+                guint trials,
+                gint64 due_us)
 {
   entry->turn++;
   entry->trials = trials;
   entry->due_us = due_us;
-  quarantine_tell (quarantine, entry, TRUE);
+  quarantine_schedule_news (quarantine, entry, TRUE);
 }
 
 gboolean
@@ -180,7 +184,8 @@
 
   if (!entry || !entry->held_us || now < entry->due_us)
     return FALSE;
-  set_due (quarantine, entry, entry->trials + 1, now + pause_after (entry->trials + 1));
+  schedule_trial (quarantine, entry, entry->trials + 1,
+                  now + pause_after (entry->trials + 1));
   return TRUE;
 }
 
@@ -192,8 +197,8 @@
   if (!entry || !entry->held_us || entry->trials == 0 ||
       entry->turn >= UNDECIDED_TURNS_MAX)
     return;
-  set_due (quarantine, entry, entry->trials - 1,
-           clock_now (quarantine->clock) + QUARANTINE_PAUSE_UNDECIDED_US);
+  schedule_trial (quarantine, entry, entry->trials - 1,
+                  clock_now (quarantine->clock) + QUARANTINE_PAUSE_UNDECIDED_US);
 }
 
 void
@@ -208,7 +213,7 @@
         continue;
       entry->version = version;
       if (entry->trials < TRIALS_EARLY)
-        set_due (quarantine, entry, entry->trials, clock_now (quarantine->clock));
+        schedule_trial (quarantine, entry, entry->trials, clock_now (quarantine->clock));
     }
 }
 
--- a/core/tests/test-allowance.c
+++ b/core/tests/test-allowance.c
@@ -157,10 +157,10 @@
   const AllowanceTerms terms = { 4, 0 };
   Clock *clock = clock_create_manual (100 * SECOND_US);
   AllowanceBook *book = allowance_book_create (&rule, clock);
-  AllowanceLoan loan = allowance_book_lend (book, ACCOUNT, &terms, 1, 0, MANY);
+  AllowanceGrant grant = allowance_book_lend (book, ACCOUNT, &terms, 1, 0, MANY);
 
-  assert_true (loan.retry_after_us > 0);
-  clock_advance (clock, loan.retry_after_us + MS_US);
+  assert_true (grant.retry_after_us > 0);
+  clock_advance (clock, grant.retry_after_us + MS_US);
   assert_int_equal (allowance_book_lend (book, ACCOUNT, &terms, 1, 0, 1).lent, 1);
   allowance_book_destroy (book);
   clock_destroy (clock);
@@ -202,7 +202,7 @@
   const char *again[ALLOWANCE_LENDERS];
   guint moved = 0;
 
-  assert_int_equal (allowance_lenders (nodes, ACCOUNT, first), ALLOWANCE_LENDERS);
+  assert_int_equal (allowance_select_lenders (nodes, ACCOUNT, first), ALLOWANCE_LENDERS);
   for (guint i = 0; i < nodes->len / 2; i++)
     {
       AllowanceNode node = g_array_index (nodes, AllowanceNode, i);
@@ -212,7 +212,7 @@
           g_array_index (nodes, AllowanceNode, other);
       g_array_index (nodes, AllowanceNode, other) = node;
     }
-  allowance_lenders (nodes, ACCOUNT, again);
+  allowance_select_lenders (nodes, ACCOUNT, again);
   for (guint i = 0; i < ALLOWANCE_LENDERS; i++)
     assert_string_equal (first[i], again[i]);
   for (guint i = 0; i < ALLOWANCE_LENDERS; i++)
@@ -223,7 +223,7 @@
     {
       g_autofree char *name = g_strdup_printf ("account-%u", i);
 
-      allowance_lenders (nodes, name, again);
+      allowance_select_lenders (nodes, name, again);
       moved += strcmp (again[0], first[0]) != 0;
     }
   assert_true (moved > 180);
@@ -236,7 +236,7 @@
   GArray *nodes = make_nodes (1, 2);
   const char *lenders[ALLOWANCE_LENDERS];
 
-  assert_int_equal (allowance_lenders (nodes, ACCOUNT, lenders), 2);
+  assert_int_equal (allowance_select_lenders (nodes, ACCOUNT, lenders), 2);
   assert_string_not_equal (lenders[0], lenders[1]);
   free_nodes (nodes);
 }
@@ -245,14 +245,14 @@
 test_what_is_lent_is_good_for_its_time (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
-  AllowancePurse *purse = allowance_purse_create (clock);
+  AllowanceCache *cache = allowance_cache_create (clock);
 
-  assert_false (allowance_purse_spend (purse, ACCOUNT));
-  allowance_purse_add (purse, ACCOUNT, 2, clock_now (clock));
-  assert_true (allowance_purse_spend (purse, ACCOUNT));
+  assert_false (allowance_cache_take (cache, ACCOUNT));
+  allowance_cache_add (cache, ACCOUNT, 2, clock_now (clock));
+  assert_true (allowance_cache_take (cache, ACCOUNT));
   clock_advance (clock, ALLOWANCE_HOLD_US);
-  assert_false (allowance_purse_spend (purse, ACCOUNT));
-  allowance_purse_destroy (purse);
+  assert_false (allowance_cache_take (cache, ACCOUNT));
+  allowance_cache_destroy (cache);
   clock_destroy (clock);
 }
 
@@ -260,22 +260,22 @@
 test_only_busy_nodes_keep_a_reserve (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
-  AllowancePurse *purse = allowance_purse_create (clock);
+  AllowanceCache *cache = allowance_cache_create (clock);
 
-  allowance_purse_add (purse, ACCOUNT, 1, clock_now (clock));
-  assert_true (allowance_purse_spend (purse, ACCOUNT));
-  assert_int_equal (allowance_purse_reserve (purse, ACCOUNT), 0);
+  allowance_cache_add (cache, ACCOUNT, 1, clock_now (clock));
+  assert_true (allowance_cache_take (cache, ACCOUNT));
+  assert_int_equal (allowance_cache_prefetch_count (cache, ACCOUNT), 0);
   for (guint i = 0; i < 200; i++)
     {
       clock_advance (clock, 20 * MS_US);
-      allowance_purse_add (purse, ACCOUNT, 1, clock_now (clock));
-      assert_true (allowance_purse_spend (purse, ACCOUNT));
+      allowance_cache_add (cache, ACCOUNT, 1, clock_now (clock));
+      assert_true (allowance_cache_take (cache, ACCOUNT));
     }
-  assert_in_range (allowance_purse_reserve (purse, ACCOUNT), 9, 13);
+  assert_in_range (allowance_cache_prefetch_count (cache, ACCOUNT), 9, 13);
   /* What is at hand is used up by half first. */
-  allowance_purse_add (purse, ACCOUNT, 10, clock_now (clock));
-  assert_int_equal (allowance_purse_reserve (purse, ACCOUNT), 0);
-  allowance_purse_destroy (purse);
+  allowance_cache_add (cache, ACCOUNT, 10, clock_now (clock));
+  assert_int_equal (allowance_cache_prefetch_count (cache, ACCOUNT), 0);
+  allowance_cache_destroy (cache);
   clock_destroy (clock);
 }
 
@@ -284,18 +284,22 @@
 {
   static const char *const lenders[] = { "a", "b" };
   Clock *clock = clock_create_manual (SECOND_US);
-  AllowancePurse *purse = allowance_purse_create (clock);
+  AllowanceCache *cache = allowance_cache_create (clock);
   gint64 wait_us = 0;
 
-  assert_int_equal (allowance_purse_pick (purse, ACCOUNT, lenders, 2, &wait_us), 0);
-  allowance_purse_pass_over (purse, ACCOUNT, "a", 100 * MS_US);
-  assert_int_equal (allowance_purse_pick (purse, ACCOUNT, lenders, 2, &wait_us), 1);
-  allowance_purse_pass_over (purse, ACCOUNT, "b", 300 * MS_US);
-  assert_int_equal (allowance_purse_pick (purse, ACCOUNT, lenders, 2, &wait_us), -1);
+  assert_int_equal (allowance_cache_pick_lender (cache, ACCOUNT, lenders, 2, &wait_us),
+                    0);
+  allowance_cache_pause_lender (cache, ACCOUNT, "a", 100 * MS_US);
+  assert_int_equal (allowance_cache_pick_lender (cache, ACCOUNT, lenders, 2, &wait_us),
+                    1);
+  allowance_cache_pause_lender (cache, ACCOUNT, "b", 300 * MS_US);
+  assert_int_equal (allowance_cache_pick_lender (cache, ACCOUNT, lenders, 2, &wait_us),
+                    -1);
   assert_int_equal (wait_us, 100 * MS_US);
   clock_advance (clock, 100 * MS_US);
-  assert_int_equal (allowance_purse_pick (purse, ACCOUNT, lenders, 2, &wait_us), 0);
-  allowance_purse_destroy (purse);
+  assert_int_equal (allowance_cache_pick_lender (cache, ACCOUNT, lenders, 2, &wait_us),
+                    0);
+  allowance_cache_destroy (cache);
   clock_destroy (clock);
 }
 
--- a/core/tests/test-fingerprint.c
+++ b/core/tests/test-fingerprint.c
@@ -8,12 +8,12 @@
 
 #include <string.h>
 
-static const FingerprintWords plain = {
+static const FingerprintInput plain = {
   "pay", "acme", "POST", "shop.example", "/pay/1?x=2", "body", sizeof "body" - 1
 };
 
 static Fingerprint
-of (const char *secret, const FingerprintWords *words)
+of (const char *secret, const FingerprintInput *words)
 {
   FingerprintKey *key = fingerprint_key_create (secret);
   Fingerprints prints = fingerprint_all (key, words);
@@ -23,7 +23,7 @@
 }
 
 static void
-assert_other (const FingerprintWords *words)
+assert_other (const FingerprintInput *words)
 {
   Fingerprint a = of ("secret", &plain);
   Fingerprint b = of ("secret", words);
@@ -43,7 +43,7 @@
 static void
 test_each_word_tells_requests_apart (void **state)
 {
-  FingerprintWords words = plain;
+  FingerprintInput words = plain;
 
   words.service = "read";
   assert_other (&words);
@@ -72,8 +72,8 @@
 static void
 test_words_do_not_run_into_each_other (void **state)
 {
-  FingerprintWords one = { .service = "a", .account = "bc" };
-  FingerprintWords two = { .service = "ab", .account = "c" };
+  FingerprintInput one = { .service = "a", .account = "bc" };
+  FingerprintInput two = { .service = "ab", .account = "c" };
   Fingerprint a = of ("secret", &one);
   Fingerprint b = of ("secret", &two);
 
@@ -95,7 +95,7 @@
 static void
 test_the_head_leaves_the_body_out (void **state)
 {
-  FingerprintWords words = plain;
+  FingerprintInput words = plain;
   Fingerprint a = of ("secret", &plain);
   Fingerprint b;
 
@@ -111,7 +111,7 @@
 test_the_path_alone_is_a_name_too (void **state)
 {
   FingerprintKey *key = fingerprint_key_create ("secret");
-  FingerprintWords words = plain;
+  FingerprintInput words = plain;
   Fingerprints one = fingerprint_all (key, &plain);
   Fingerprints two;
 
--- a/core/tests/test-quarantine.c
+++ b/core/tests/test-quarantine.c
@@ -81,7 +81,7 @@
 tell (Fixture *fixture, guint from, guint to)
 {
   QuarantineNews news[NEWS_MAX];
-  guint count = quarantine_some (fixture->nodes[from], news, NEWS_MAX);
+  guint count = quarantine_next_part (fixture->nodes[from], news, NEWS_MAX);
 
   for (guint i = 0; i < count; i++)
     quarantine_merge (fixture->nodes[to], &news[i]);
@@ -108,7 +108,7 @@
 static void
 end_three (Fixture *fixture, const Fingerprint *request)
 {
-  for (guint i = 0; i < QUARANTINE_ENDS; i++)
+  for (guint i = 0; i < QUARANTINE_ENDS_LIMIT; i++)
     {
       end_under (fixture, i, request, 1);
       pass (fixture, APART_US);
@@ -289,7 +289,7 @@
   Fixture *fixture = *state;
   const Fingerprint both[] = { deadly, other };
 
-  for (guint i = 0; i < QUARANTINE_ENDS; i++)
+  for (guint i = 0; i < QUARANTINE_ENDS_LIMIT; i++)
     {
       end_under (fixture, i, both, 2);
       pass (fixture, APART_US);
@@ -316,7 +316,7 @@
   const Fingerprint both[] = { other, deadly };
 
   hold (fixture, &deadly);
-  for (guint i = 0; i < QUARANTINE_ENDS; i++)
+  for (guint i = 0; i < QUARANTINE_ENDS_LIMIT; i++)
     {
       pass (fixture, APART_US);
       end_under (fixture, i, both, 2);
@@ -393,7 +393,7 @@
   guint count;
 
   hold (fixture, &sound);
-  count = quarantine_some (fixture->nodes[0], old, NEWS_MAX);
+  count = quarantine_next_part (fixture->nodes[0], old, NEWS_MAX);
   quarantine_note_answer (fixture->nodes[1], &sound);
   tell_all (fixture);
   for (guint i = 0; i < count; i++)
@@ -573,9 +573,9 @@
 
   end_three (fixture, &deadly);
   while (quarantine_urgency (fixture->nodes[0]) != QUARANTINE_NEWS_NONE && told < 1000)
-    told += quarantine_news (fixture->nodes[0], news, 1);
+    told += quarantine_next_news (fixture->nodes[0], news, 1);
   assert_in_range (told, 1, 20);
-  assert_int_equal (quarantine_news (fixture->nodes[0], news, NEWS_MAX), 0);
+  assert_int_equal (quarantine_next_news (fixture->nodes[0], news, NEWS_MAX), 0);
 }
 
 /* Words that no node says. */
--- a/core/tests/test-succession.c
+++ b/core/tests/test-succession.c
@@ -4,14 +4,14 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-#include <core/succession.h>
+#include <core/target-starts.h>
 
 #define INTERVAL_US (1500 * MS_US)
 
 typedef struct
 {
   Clock *clock;
-  Succession *succession;
+  TargetStarts *succession;
 } Fixture;
 
 static Fixture
@@ -19,23 +19,23 @@
 {
   Fixture fixture = { .clock = clock_create_manual (SECOND_US) };
 
-  fixture.succession = succession_create (fixture.clock);
+  fixture.succession = target_starts_create (fixture.clock);
   return fixture;
 }
 
 static void
 teardown (Fixture *fixture)
 {
-  succession_destroy (fixture->succession);
+  target_starts_destroy (fixture->succession);
   clock_destroy (fixture->clock);
 }
 
 /* One heartbeat, an interval after the last. */
-static SuccessionAnswer
+static TargetStartsResult
 beat (Fixture *fixture, const char *name, gint64 sequence)
 {
   clock_advance (fixture->clock, INTERVAL_US);
-  return succession_beat (fixture->succession, name, sequence);
+  return target_starts_heartbeat (fixture->succession, name, sequence);
 }
 
 static void
@@ -43,11 +43,11 @@
 {
   Fixture fixture = setup ();
 
-  assert_int_equal (beat (&fixture, "old", 1), SUCCESSION_NEXT);
-  assert_int_equal (beat (&fixture, "old", 2), SUCCESSION_SAME);
-  assert_int_equal (beat (&fixture, "old", 2), SUCCESSION_LATE);
-  assert_int_equal (beat (&fixture, "new", 1), SUCCESSION_NEXT);
-  assert_string_equal (succession_present (fixture.succession), "new");
+  assert_int_equal (beat (&fixture, "old", 1), TARGET_STARTS_NEW);
+  assert_int_equal (beat (&fixture, "old", 2), TARGET_STARTS_CURRENT);
+  assert_int_equal (beat (&fixture, "old", 2), TARGET_STARTS_STALE);
+  assert_int_equal (beat (&fixture, "new", 1), TARGET_STARTS_NEW);
+  assert_string_equal (target_starts_current (fixture.succession), "new");
   teardown (&fixture);
 }
 
@@ -59,11 +59,11 @@
 
   beat (&fixture, "old", 1);
   beat (&fixture, "new", 1);
-  assert_int_equal (beat (&fixture, "old", 2), SUCCESSION_LATE);
-  assert_int_equal (beat (&fixture, "new", 2), SUCCESSION_SAME);
-  assert_int_equal (beat (&fixture, "old", 3), SUCCESSION_LATE);
-  assert_int_equal (beat (&fixture, "new", 3), SUCCESSION_SAME);
-  assert_string_equal (succession_present (fixture.succession), "new");
+  assert_int_equal (beat (&fixture, "old", 2), TARGET_STARTS_STALE);
+  assert_int_equal (beat (&fixture, "new", 2), TARGET_STARTS_CURRENT);
+  assert_int_equal (beat (&fixture, "old", 3), TARGET_STARTS_STALE);
+  assert_int_equal (beat (&fixture, "new", 3), TARGET_STARTS_CURRENT);
+  assert_string_equal (target_starts_current (fixture.succession), "new");
   teardown (&fixture);
 }
 
@@ -75,11 +75,11 @@
   Fixture fixture = setup ();
 
   beat (&fixture, "alive", 7);
-  assert_int_equal (beat (&fixture, "crashed", 3), SUCCESSION_NEXT);
-  assert_int_equal (beat (&fixture, "alive", 8), SUCCESSION_LATE);
-  assert_int_equal (beat (&fixture, "alive", 9), SUCCESSION_NEXT);
-  assert_int_equal (beat (&fixture, "alive", 10), SUCCESSION_SAME);
-  assert_int_equal (beat (&fixture, "crashed", 4), SUCCESSION_LATE);
+  assert_int_equal (beat (&fixture, "crashed", 3), TARGET_STARTS_NEW);
+  assert_int_equal (beat (&fixture, "alive", 8), TARGET_STARTS_STALE);
+  assert_int_equal (beat (&fixture, "alive", 9), TARGET_STARTS_NEW);
+  assert_int_equal (beat (&fixture, "alive", 10), TARGET_STARTS_CURRENT);
+  assert_int_equal (beat (&fixture, "crashed", 4), TARGET_STARTS_STALE);
   teardown (&fixture);
 }
 
@@ -89,10 +89,10 @@
   Fixture fixture = setup ();
 
   beat (&fixture, "old", 1);
-  succession_end (fixture.succession, "old");
-  assert_int_equal (beat (&fixture, "new", 1), SUCCESSION_NEXT);
+  target_starts_note_end (fixture.succession, "old");
+  assert_int_equal (beat (&fixture, "new", 1), TARGET_STARTS_NEW);
   for (gint64 sequence = 2; sequence < 10; sequence++)
-    assert_int_equal (beat (&fixture, "old", sequence), SUCCESSION_LATE);
+    assert_int_equal (beat (&fixture, "old", sequence), TARGET_STARTS_STALE);
   teardown (&fixture);
 }
 
@@ -102,9 +102,9 @@
 {
   Fixture fixture = setup ();
 
-  succession_end (fixture.succession, "old");
-  assert_int_equal (beat (&fixture, "old", 5), SUCCESSION_LATE);
-  assert_null (succession_present (fixture.succession));
+  target_starts_note_end (fixture.succession, "old");
+  assert_int_equal (beat (&fixture, "old", 5), TARGET_STARTS_STALE);
+  assert_null (target_starts_current (fixture.succession));
   teardown (&fixture);
 }
 
@@ -113,22 +113,22 @@
 test_a_start_under_the_same_identifier_takes_over (void **state)
 {
   Fixture fixture = setup ();
-  g_autofree char *first = succession_name ("i-1", 1000);
-  g_autofree char *second = succession_name ("i-1", 2000);
+  g_autofree char *first = target_start_name ("i-1", 1000);
+  g_autofree char *second = target_start_name ("i-1", 2000);
 
   beat (&fixture, first, 7);
-  assert_int_equal (beat (&fixture, second, 1), SUCCESSION_NEXT);
+  assert_int_equal (beat (&fixture, second, 1), TARGET_STARTS_NEW);
   for (gint64 sequence = 8; sequence < 20; sequence++)
     {
       clock_advance (fixture.clock, 4 * SECOND_US);
-      assert_int_equal (beat (&fixture, first, sequence), SUCCESSION_LATE);
+      assert_int_equal (beat (&fixture, first, sequence), TARGET_STARTS_STALE);
     }
-  assert_int_equal (beat (&fixture, second, 1), SUCCESSION_LATE);
-  assert_int_equal (beat (&fixture, second, 2), SUCCESSION_SAME);
+  assert_int_equal (beat (&fixture, second, 1), TARGET_STARTS_STALE);
+  assert_int_equal (beat (&fixture, second, 2), TARGET_STARTS_CURRENT);
   /* Nor does one that does not say when it began. */
-  assert_int_equal (beat (&fixture, "i-1", 50), SUCCESSION_LATE);
-  succession_end (fixture.succession, first);
-  assert_string_equal (succession_present (fixture.succession), second);
+  assert_int_equal (beat (&fixture, "i-1", 50), TARGET_STARTS_STALE);
+  target_starts_note_end (fixture.succession, first);
+  assert_string_equal (target_starts_current (fixture.succession), second);
   teardown (&fixture);
 }
 
@@ -142,8 +142,8 @@
   for (gsize i = 0; i < G_N_ELEMENTS (identifiers); i++)
     for (gsize j = 0; j < G_N_ELEMENTS (borns); j++)
       {
-        g_autofree char *name = succession_name (identifiers[i], borns[j]);
-        g_autofree char *back = succession_identifier (name);
+        g_autofree char *name = target_start_name (identifiers[i], borns[j]);
+        g_autofree char *back = target_start_identifier (name);
 
         assert_string_equal (back, identifiers[i]);
       }
--- a/core/tests/test-suspension.c
+++ b/core/tests/test-suspension.c
@@ -50,16 +50,16 @@
 test_what_was_borrowed_is_not_spent_afterwards (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
-  AllowancePurse *purse = allowance_purse_create (clock);
+  AllowanceCache *cache = allowance_cache_create (clock);
   gint64 asked_us = clock_now (clock);
 
-  allowance_purse_add (purse, "acme", 5, asked_us);
+  allowance_cache_add (cache, "acme", 5, asked_us);
   clock_advance (clock, SUSPENDED_US);
-  assert_false (allowance_purse_spend (purse, "acme"));
+  assert_false (allowance_cache_take (cache, "acme"));
   /* Nor is what a lender said before and is read only now. */
-  allowance_purse_add (purse, "acme", 5, asked_us);
-  assert_false (allowance_purse_spend (purse, "acme"));
-  allowance_purse_destroy (purse);
+  allowance_cache_add (cache, "acme", 5, asked_us);
+  assert_false (allowance_cache_take (cache, "acme"));
+  allowance_cache_destroy (cache);
   clock_destroy (clock);
 }
 
@@ -168,7 +168,7 @@
   g_autoptr (GArray) work = g_array_new (FALSE, FALSE, sizeof (Fingerprint));
 
   g_array_append_val (work, deadly);
-  for (guint32 i = 1; i <= QUARANTINE_ENDS; i++)
+  for (guint32 i = 1; i <= QUARANTINE_ENDS_LIMIT; i++)
     {
       quarantine_note_end (quarantine, i, 1, 1, work);
       clock_advance (clock, SECOND_US);
--- a/daemon/src/account/allowance-fleet.c
+++ b/daemon/src/account/allowance-fleet.c
@@ -192,7 +192,7 @@
                          const char *account,
                          const char *lenders[ALLOWANCE_LENDERS])
 {
-  guint count = allowance_lenders (fleet->nodes, account, lenders);
+  guint count = allowance_select_lenders (fleet->nodes, account, lenders);
 
   own_hall_first (fleet, lenders, count);
   return count;
@@ -221,7 +221,7 @@
 
   if (is_young (fleet))
     return 0;
-  count = allowance_lenders (fleet->nodes, account, lenders);
+  count = allowance_select_lenders (fleet->nodes, account, lenders);
   for (guint i = 0; i < count; i++)
     if (strcmp (lenders[i], fleet->node->settings->node) == 0)
       return seen_share (fleet) / count;
--- a/daemon/src/account/allowances-lend.c
+++ b/daemon/src/account/allowances-lend.c
@@ -58,7 +58,7 @@
 allowances_lend (Allowances *allowances, const sw_allow_args *args, sw_allow_res *res)
 {
   AllowanceTerms terms = terms_of (allowances, args);
-  AllowanceLoan loan;
+  AllowanceGrant grant;
   double share;
 
   allowances_refresh (allowances);
@@ -72,10 +72,11 @@
       res->lent = args->wanted;
       return;
     }
-  loan = allowance_book_lend (allowances->book, args->account, &terms, share,
-                              allowance_fleet_since_us (allowances->fleet), args->wanted);
-  res->lent = loan.lent;
-  res->retry_after_ms = (u_int)(loan.retry_after_us / MS_US);
+  grant =
+      allowance_book_lend (allowances->book, args->account, &terms, share,
+                           allowance_fleet_since_us (allowances->fleet), args->wanted);
+  res->lent = grant.lent;
+  res->retry_after_ms = (u_int)(grant.retry_after_us / MS_US);
 }
 
 void
@@ -89,7 +90,7 @@
   g_autofree char *per_s = g_strdup_printf ("%g", account->per_s);
   g_autofree char *burst = g_strdup_printf ("%g", account->burst);
   g_autofree char *rate =
-      g_strdup_printf ("%.1f", allowance_purse_rate (allowances->purse, account->id));
+      g_strdup_printf ("%.1f", allowance_cache_use_rate (allowances->cache, account->id));
   g_autofree char *retry =
       g_strdup_printf ("%" G_GINT64_FORMAT, verdict->retry_after_us / MS_US);
   g_autofree char *generation =
--- a/daemon/src/account/allowances-private.h
+++ b/daemon/src/account/allowances-private.h
@@ -37,7 +37,7 @@
 {
   Node *node;
   AllowanceBook *book;
-  AllowancePurse *purse;
+  AllowanceCache *cache;
   AllowanceFleet *fleet;
   GHashTable *queues; /* account → Queue */
   gint64 swept_us;
--- a/daemon/src/account/allowances.c
+++ b/daemon/src/account/allowances.c
@@ -113,7 +113,7 @@
   Allowances *allowances = queue->allowances;
 
   while (queue->waiters.length > 0 &&
-         allowance_purse_spend (allowances->purse, queue->account))
+         allowance_cache_take (allowances->cache, queue->account))
     settle (g_queue_pop_head (&queue->waiters), ALLOWANCE_GRANTED, 0);
 }
 
@@ -189,11 +189,11 @@
   if (res && res->lender)
     {
       queue->answered_us = clock_now (allowances->node->clock);
-      allowance_purse_add (allowances->purse, queue->account, res->lent, queue->asked_us);
+      allowance_cache_add (allowances->cache, queue->account, res->lent, queue->asked_us);
     }
   if (pause_us > 0)
-    allowance_purse_pass_over (allowances->purse, queue->account, queue->lender,
-                               pause_us);
+    allowance_cache_pause_lender (allowances->cache, queue->account, queue->lender,
+                                  pause_us);
   carry_on (queue);
 }
 
@@ -266,14 +266,14 @@
   if (queue->asking)
     return;
   serve (queue);
-  queue->wanted =
-      queue->waiters.length + allowance_purse_reserve (allowances->purse, queue->account);
+  queue->wanted = queue->waiters.length +
+                  allowance_cache_prefetch_count (allowances->cache, queue->account);
   if (queue->wanted == 0)
     return;
   allowances_refresh (allowances);
   count = allowance_fleet_lenders (allowances->fleet, queue->account, lenders);
-  place =
-      allowance_purse_pick (allowances->purse, queue->account, lenders, count, &wait_us);
+  place = allowance_cache_pick_lender (allowances->cache, queue->account, lenders, count,
+                                       &wait_us);
   if (place >= 0)
     ask (queue, lenders[place]);
   else
@@ -332,7 +332,7 @@
   sweep (allowances);
   queue = queue_of (allowances, order->account);
   if (queue->waiters.length == 0 &&
-      allowance_purse_spend (allowances->purse, queue->account))
+      allowance_cache_take (allowances->cache, queue->account))
     allowances->done (&lent, &granted, allowances->data);
   else
     enqueue (queue, order);
@@ -364,7 +364,7 @@
 
   allowances->node = node;
   allowances->book = allowance_book_create (&node->settings->allowance, node->clock);
-  allowances->purse = allowance_purse_create (node->clock);
+  allowances->cache = allowance_cache_create (node->clock);
   allowances->fleet = allowance_fleet_create (node);
   allowances->queues = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, queue_free);
   return allowances;
@@ -384,7 +384,7 @@
     return;
   g_hash_table_unref (allowances->queues);
   allowance_fleet_destroy (allowances->fleet);
-  allowance_purse_destroy (allowances->purse);
+  allowance_cache_destroy (allowances->cache);
   allowance_book_destroy (allowances->book);
   g_free (allowances);
 }
--- a/daemon/src/quarantine/quarantine-node.c
+++ b/daemon/src/quarantine/quarantine-node.c
@@ -67,14 +67,14 @@
 quarantine_node_watches (const QuarantineNode *quarantine, const char *service)
 {
   return quarantine_entries (quarantine->list)->len > 0 &&
-         quarantine_watches (quarantine->list, quarantine_service_hash (service));
+         quarantine_has_service (quarantine->list, quarantine_service_hash (service));
 }
 
 static gboolean
 knows_any_head (const Quarantine *list, const Fingerprints *prints)
 {
   for (guint i = 0; i < prints->count; i++)
-    if (quarantine_knows_head (list, prints->of[i].head))
+    if (quarantine_has_head (list, prints->of[i].head))
       return TRUE;
   return FALSE;
 }
@@ -84,7 +84,7 @@
 static gboolean
 may_know (const QuarantineNode *quarantine,
           RequestPrint *print,
-          const FingerprintWords *words)
+          const FingerprintInput *words)
 {
   const FingerprintKey *key = quarantine->node->fingerprints;
 
@@ -109,7 +109,7 @@
 QuarantineVerdict
 quarantine_node_check (QuarantineNode *quarantine,
                        RequestPrint *print,
-                       const FingerprintWords *words)
+                       const FingerprintInput *words)
 {
   QuarantineVerdict worst = { QUARANTINE_FREE, 0 };
 
@@ -142,7 +142,7 @@
 gboolean
 quarantine_node_admits (QuarantineNode *quarantine,
                         RequestPrint *print,
-                        const FingerprintWords *words,
+                        const FingerprintInput *words,
                         gboolean offered,
                         gboolean *trial,
                         gint64 *retry_after_us)
@@ -161,7 +161,7 @@
 void
 quarantine_node_note_answer (QuarantineNode *quarantine,
                              RequestPrint *print,
-                             const FingerprintWords *words)
+                             const FingerprintInput *words)
 {
   if (!may_know (quarantine, print, words))
     return;
@@ -210,8 +210,8 @@
 {
   QuarantineNews news[SW_QUARANTINE_MAX];
   gboolean all = to && g_hash_table_remove (quarantine->behind, to);
-  guint count = all ? quarantine_some (quarantine->list, news, SW_QUARANTINE_MAX)
-                    : quarantine_news (quarantine->list, news, SW_QUARANTINE_MAX);
+  guint count = all ? quarantine_next_part (quarantine->list, news, SW_QUARANTINE_MAX)
+                    : quarantine_next_news (quarantine->list, news, SW_QUARANTINE_MAX);
 
   message->quarantine_digest = quarantine_digest (quarantine->list);
   message->quarantine.quarantine_val = g_new0 (sw_quarantine, count + 1);
--- a/daemon/src/quarantine/quarantine-node.h
+++ b/daemon/src/quarantine/quarantine-node.h
@@ -40,14 +40,14 @@
    lacks are computed from `words`. */
 QuarantineVerdict quarantine_node_check (QuarantineNode *quarantine,
                                          RequestPrint *print,
-                                         const FingerprintWords *words);
+                                         const FingerprintInput *words);
 
 /* Returns whether the sidecar may start a request. A quarantined request may start only
    as a trial that is due, if the attempt was `offered` as one. `*trial` is set only for a
    quarantined request: to whether it starts as a trial. */
 gboolean quarantine_node_admits (QuarantineNode *quarantine,
                                  RequestPrint *print,
-                                 const FingerprintWords *words,
+                                 const FingerprintInput *words,
                                  gboolean offered,
                                  gboolean *trial,
                                  gint64 *retry_after_us);
@@ -55,7 +55,7 @@
 /* Notes that a request has had a good answer from a target of this VM. */
 void quarantine_node_note_answer (QuarantineNode *quarantine,
                                   RequestPrint *print,
-                                  const FingerprintWords *words);
+                                  const FingerprintInput *words);
 /* Notes that a trial on this VM ended with neither a good answer nor a crash. */
 void quarantine_node_trial_undecided (QuarantineNode *quarantine,
                                       const Fingerprints *prints);
--- a/daemon/src/request/attempt-send.c
+++ b/daemon/src/request/attempt-send.c
@@ -108,7 +108,7 @@
 exchange_fit (const Exchange *exchange)
 {
   return latency_views_fit (exchange->owner->latencies,
-                            latency_route (exchange->route->class));
+                            latency_route_id (exchange->route->class));
 }
 
 /* Fills all arguments except the request itself: method, path, headers and body. */
@@ -134,7 +134,7 @@
   args->may_queue = attempt->may_queue;
   args->wait_ms = (u_int)(attempt->max_wait_us / MS_US);
   args->slack_ms = (u_int)(MAX (exchange_slack_us (exchange), 0) / MS_US);
-  args->route = latency_route (exchange->route->class);
+  args->route = latency_route_id (exchange->route->class);
   args->sibling_fit = latency_fit_pack (&fit);
   args->sibling_failures_ppm = balancer_failures_ppm (node->balancer, attempt->service);
 }
--- a/daemon/src/request/attempt.c
+++ b/daemon/src/request/attempt.c
@@ -166,8 +166,9 @@
   Node *node = exchange->owner->node;
   LatencyFit fit = latency_fit_unpack (res->route_fit);
 
-  latency_views_note (exchange->owner->latencies, latency_route (exchange->route->class),
-                      attempt->target->name, &fit);
+  latency_views_note (exchange->owner->latencies,
+                      latency_route_id (exchange->route->class), attempt->target->name,
+                      &fit);
   peers_note_stamp (node->peers, &res->stamp);
   peers_note_state (node->peers, &res->stamp, &res->state);
 }
--- a/daemon/src/request/exchange-quarantine.c
+++ b/daemon/src/request/exchange-quarantine.c
@@ -6,13 +6,13 @@
 
 /* Returns the fields of the request from which fingerprints are made, borrowed. They
    match the ones that the sidecar of any target reads in the attempt. */
-static FingerprintWords
+static FingerprintInput
 words_of (const Exchange *exchange)
 {
   const Dialect *dialect = exchange->owner->node->adapter->dialect;
   const HttpRequest *request = exchange->request;
   const GByteArray *body = http_request_body (request);
-  FingerprintWords words = { .service = exchange->service,
+  FingerprintInput words = { .service = exchange->service,
                              .method = http_request_method (request),
                              .host = http_request_header (request, "Host"),
                              .path = http_request_target (request),
@@ -31,7 +31,7 @@
 {
   QuarantineNode *quarantine = exchange->owner->node->quarantine;
   QuarantineVerdict verdict = { QUARANTINE_FREE, 0 };
-  FingerprintWords words;
+  FingerprintInput words;
 
   if (!quarantine_node_watches (quarantine, exchange->service))
     return verdict;
--- a/daemon/src/target/registry.c
+++ b/daemon/src/target/registry.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include <core/names.h>
-#include <core/succession.h>
+#include <core/target-starts.h>
 #include <io/http-server.h>
 #include <core/http-status.h>
 
@@ -28,7 +28,7 @@
 {
   Node *node;
   HttpServer *server;
-  Succession *starts;
+  TargetStarts *starts;
   char *service; /* of the current start; NULL before the first heartbeat */
   char *version; /* of the software, "" if not reported; likewise */
   guint slots;
@@ -79,7 +79,7 @@
 publish (Registry *registry)
 {
   Node *node = registry->node;
-  const char *target = succession_present (registry->starts);
+  const char *target = target_starts_current (registry->starts);
   Registration registration = { target, registry->service, node->settings->target_address,
                                 registry->slots, registry->leaving };
 
@@ -103,10 +103,10 @@
 }
 
 static void
-take_state (Registry *registry, SuccessionAnswer answer, const Heartbeat *heartbeat)
+take_state (Registry *registry, TargetStartsResult answer, const Heartbeat *heartbeat)
 {
   /* A target that has announced that it leaves does not return under the same name. */
-  if (answer == SUCCESSION_SAME &&
+  if (answer == TARGET_STARTS_CURRENT &&
       (registry->leaving || registry->leaving == heartbeat->leaving) &&
       strcmp (registry->service, heartbeat->service) == 0 &&
       registry->slots == heartbeat->slots)
@@ -125,10 +125,11 @@
 static void
 take_heartbeat (Registry *registry, const char *identifier, const Heartbeat *heartbeat)
 {
-  g_autofree char *name = succession_name (identifier, heartbeat->born);
-  SuccessionAnswer answer = succession_beat (registry->starts, name, heartbeat->sequence);
+  g_autofree char *name = target_start_name (identifier, heartbeat->born);
+  TargetStartsResult answer =
+      target_starts_heartbeat (registry->starts, name, heartbeat->sequence);
 
-  if (answer == SUCCESSION_LATE)
+  if (answer == TARGET_STARTS_STALE)
     return;
   take_state (registry, answer, heartbeat);
   take_cold (registry, name, heartbeat->cold_us);
@@ -140,8 +141,8 @@
 static char *
 leaving_start (Registry *registry, const char *identifier, const GByteArray *body)
 {
-  const char *present = succession_present (registry->starts);
-  g_autofree char *of_present = present ? succession_identifier (present) : NULL;
+  const char *present = target_starts_current (registry->starts);
+  g_autofree char *of_present = present ? target_start_identifier (present) : NULL;
   JsonFaults *faults = json_faults_create ();
   JsonView *view = NULL;
   char *name = NULL;
@@ -160,7 +161,7 @@
   else if (born == 0 && g_strcmp0 (of_present, identifier) == 0)
     name = g_strdup (present);
   else
-    name = succession_name (identifier, born);
+    name = target_start_name (identifier, born);
   json_faults_destroy (faults);
   return name;
 }
@@ -168,8 +169,9 @@
 static void
 take_leave (Registry *registry, const char *name)
 {
-  succession_end (registry->starts, name);
-  if (g_strcmp0 (succession_present (registry->starts), name) != 0 || registry->leaving)
+  target_starts_note_end (registry->starts, name);
+  if (g_strcmp0 (target_starts_current (registry->starts), name) != 0 ||
+      registry->leaving)
     return;
   registry->leaving = TRUE;
   publish (registry);
@@ -246,12 +248,12 @@
   Registry *registry = g_new0 (Registry, 1);
 
   registry->node = node;
-  registry->starts = succession_create (node->clock);
+  registry->starts = target_starts_create (node->clock);
   registry->server = http_server_create (node->loop, settings->registration_address,
                                          &limits, on_request, registry, error);
   if (registry->server)
     return registry;
-  succession_destroy (registry->starts);
+  target_starts_destroy (registry->starts);
   g_free (registry);
   return NULL;
 }
@@ -262,7 +264,7 @@
   if (!registry)
     return;
   http_server_destroy (registry->server);
-  succession_destroy (registry->starts);
+  target_starts_destroy (registry->starts);
   g_free (registry->service);
   g_free (registry->version);
   g_free (registry);
@@ -295,7 +297,7 @@
 {
   if (!registry || !registry->service)
     return 0;
-  registration->target = (char *)succession_present (registry->starts);
+  registration->target = (char *)target_starts_current (registry->starts);
   registration->service = registry->service;
   registration->slots = registry->slots;
   registration->leaving = registry->leaving;
--- a/daemon/src/target/sidecar-private.h
+++ b/daemon/src/target/sidecar-private.h
@@ -115,7 +115,7 @@
 
 /* Returns the parts that identify the request when it comes again. Texts are borrowed
    from the submission. */
-FingerprintWords submission_words (const Submission *submission);
+FingerprintInput submission_words (const Submission *submission);
 
 /* Returns the latency distribution of the route: that of the service's other targets if
    it is known, else that of this VM. */
--- a/daemon/src/target/submission-words.c
+++ b/daemon/src/target/submission-words.c
@@ -12,13 +12,13 @@
   return NULL;
 }
 
-FingerprintWords
+FingerprintInput
 submission_words (const Submission *submission)
 {
   const sw_submit_args *args = &submission->args;
   const Dialect *dialect = submission->sidecar->node->adapter->dialect;
   const char *account = header_of (args, dialect->account_header);
-  FingerprintWords words = { .service = submission->target->service,
+  FingerprintInput words = { .service = submission->target->service,
                              .account = account,
                              .method = args->method,
                              .host = header_of (args, "Host"),
--- a/daemon/src/target/submission.c
+++ b/daemon/src/target/submission.c
@@ -143,7 +143,7 @@
   const Sidecar *sidecar = submission->sidecar;
   const SidecarTarget *target = submission->target;
   const Node *node = sidecar->node;
-  FingerprintWords words = submission_words (submission);
+  FingerprintInput words = submission_words (submission);
   WatchedTarget where = { target->name, target->service, target->address };
   BrokenWork work = { .prints = fingerprint_all (node->fingerprints, &words),
                       .attempt = attempt_name_text (&submission->args.attempt),
@@ -161,7 +161,7 @@
 {
   Sidecar *sidecar = submission->sidecar;
   QuarantineNode *quarantine = sidecar->node->quarantine;
-  FingerprintWords words;
+  FingerprintInput words;
 
   if (result->outcome == HTTP_CALL_BROKEN)
     note_break (submission);
@@ -250,7 +250,7 @@
 {
   Sidecar *sidecar = submission->sidecar;
   QuarantineNode *quarantine = sidecar->node->quarantine;
-  FingerprintWords words;
+  FingerprintInput words;
   gint64 retry_after_us;
 
   if (!quarantine_node_watches (quarantine, submission->target->service))
