--- a/daemon/src/account/allowances.c
+++ b/daemon/src/account/allowances.c
@@ -340,7 +340,7 @@
 }
 
 guint
-allowances_cut (Allowances *allowances)
+allowances_abort (Allowances *allowances)
 {
   GHashTableIter iter;
   gpointer value;
--- a/daemon/src/account/allowances.h
+++ b/daemon/src/account/allowances.h
@@ -40,7 +40,7 @@
 void allowances_offer (Allowances *allowances, const ExchangeOrder *order);
 
 /* Refuses all that wait, for a stop; returns how many there were. */
-guint allowances_cut (Allowances *allowances);
+guint allowances_abort (Allowances *allowances);
 
 /* What the membership says of a member. */
 void allowances_note_member (Allowances *allowances, const Member *member);
--- a/daemon/src/node/node.c
+++ b/daemon/src/node/node.c
@@ -65,7 +65,7 @@
 {
   members_leave (run->node.members);
   gossip_push (run->node.gossip);
-  run->cut += ingress_cut (run->node.ingress) + sidecar_active (run->node.sidecar);
+  run->cut += ingress_abort (run->node.ingress) + sidecar_active (run->node.sidecar);
   run->ending = TRUE;
   loop_timer_start (run->stop, run->cut ? STOP_FLUSH_US : 0);
 }
@@ -106,7 +106,7 @@
 yield_requests (NodeRun *run)
 {
   run->yielded = TRUE;
-  run->cut += ingress_cut (run->node.ingress);
+  run->cut += ingress_abort (run->node.ingress);
 }
 
 /* No moment of a stop is missed by as much as the checks are apart. */
--- a/daemon/src/request/answer.c
+++ b/daemon/src/request/answer.c
@@ -8,7 +8,7 @@
 #define RETRY_AFTER_US SECOND_US
 
 void
-answer_pass (const Dialect *dialect, HttpRequest *request, const sw_answer *answer)
+answer_forward (const Dialect *dialect, HttpRequest *request, const sw_answer *answer)
 {
   g_autoptr (GArray) headers = http_headers_new ();
   Verdict verdict = { .outcome = OUTCOME_DONE };
@@ -26,7 +26,7 @@
 }
 
 void
-answer_give_up (const Dialect *dialect,
+answer_failure (const Dialect *dialect,
                 HttpRequest *request,
                 const char *id,
                 const Verdict *verdict)
--- a/daemon/src/request/answer.h
+++ b/daemon/src/request/answer.h
@@ -8,11 +8,12 @@
 
 /* Forwards a target's answer to the caller, with the headers that the dialect lets pass.
  */
-void answer_pass (const Dialect *dialect, HttpRequest *request, const sw_answer *answer);
+void
+answer_forward (const Dialect *dialect, HttpRequest *request, const sw_answer *answer);
 
 /* Answers that a request did not run, or that it may have run; `id` is the caller's
    request identifier, or NULL. */
-void answer_give_up (const Dialect *dialect,
+void answer_failure (const Dialect *dialect,
                      HttpRequest *request,
                      const char *id,
                      const Verdict *verdict);
--- a/daemon/src/request/attempt-name.c
+++ b/daemon/src/request/attempt-id.c
@@ -1,7 +1,7 @@
-#include "attempt-name.h"
+#include "attempt-id.h"
 
 char *
-attempt_name_text (const sw_attempt *attempt)
+attempt_id_text (const sw_attempt *attempt)
 {
   return g_strdup_printf ("%s-%" G_GINT64_MODIFIER "x-%" G_GINT64_MODIFIER "x",
                           attempt->node ? attempt->node : "",
--- a/daemon/src/request/attempt-send.c
+++ b/daemon/src/request/attempt-send.c
@@ -10,17 +10,17 @@
    take 1 ms within a hall and 8 ms between halls. With OPEN_TIMEOUT_US alone, trying four
    dead nodes in a row took 1.6 s; in a fleet of 353 nodes of which 11 were dead, that
    made 460 requests late in six seconds. */
-#define OPEN_PATIENCE_US (100 * MS_US)
+#define SESSION_WAIT_MAX_US (100 * MS_US)
 /* The reply to a slot request takes one round trip; a lost packet is retransmitted within
    200 ms. */
 #define SLOT_TIMEOUT_US (300 * MS_US)
 
 /* A node heard within this time is taken to be up: nodes and paths fail once in hours,
    and a request reaches its target within milliseconds. */
-#define PROVED_US (50 * MS_US)
+#define HEARD_RECENTLY_US (50 * MS_US)
 /* An answer takes under 1 ms within a hall, 4 ms between halls, and about 20 ms from a
    slow node. After three times that, another node is tried. */
-#define PROOF_TIMEOUT_US (60 * MS_US)
+#define NODE_PING_TIMEOUT_US (60 * MS_US)
 
 static const RpcProcedure submit = { SW_SUBMIT, (xdrproc_t)xdr_sw_submit_args,
                                      (xdrproc_t)xdr_sw_submit_res,
@@ -90,7 +90,7 @@
 }
 
 gboolean
-attempt_name (Attempt *attempt, const PeerStamp *stamp)
+attempt_assign_id (Attempt *attempt, const PeerStamp *stamp)
 {
   Exchange *exchange = attempt->exchange;
   Node *node = exchange->owner->node;
@@ -105,7 +105,7 @@
 }
 
 LatencyFit
-exchange_fit (const Exchange *exchange)
+exchange_latency_fit (const Exchange *exchange)
 {
   return latency_views_fit (exchange->owner->latencies,
                             latency_route_id (exchange->route->class));
@@ -113,13 +113,13 @@
 
 /* Fills all arguments except the request itself: method, path, headers and body. */
 static void
-fill_terms (const Attempt *attempt, sw_submit_args *args)
+fill_attempt_args (const Attempt *attempt, sw_submit_args *args)
 {
   const Exchange *exchange = attempt->exchange;
   Node *node = exchange->owner->node;
-  LatencyFit fit = exchange_fit (exchange);
+  LatencyFit fit = exchange_latency_fit (exchange);
 
-  attempt_fill (attempt, &args->attempt);
+  attempt_fill_id (attempt, &args->attempt);
   args->sidecar = attempt->stamp.incarnation;
   args->clock_us = (guint64)attempt->stamp.reading_us;
   args->target = attempt->target->name;
@@ -148,7 +148,7 @@
   g_autoptr (GArray) headers = forwarded_headers (exchange);
   sw_submit_args args = { .phase = phase };
 
-  fill_terms (attempt, &args);
+  fill_attempt_args (attempt, &args);
   args.method = (char *)http_request_method (exchange->request);
   args.path = (char *)http_request_target (exchange->request);
   args.body.body_val = (char *)body->data;
@@ -169,7 +169,7 @@
    could run has been sent. For a second, or until the node answers, the balancer avoids
    it. */
 static void
-path_unproved (Attempt *attempt)
+fail_unanswered (Attempt *attempt)
 {
   peers_doubt (attempt->exchange->owner->node->peers, attempt->target->vm);
   attempt->unanswered = TRUE;
@@ -189,7 +189,7 @@
     return;
   attempt->pending = NULL;
   if (outcome == RPC_OK && res->result == SW_HELD &&
-      attempt_is_own (attempt, &res->attempt))
+      attempt_id_matches (attempt, &res->attempt))
     {
       attempt_note_answer (attempt, res);
       submit_now (attempt, SW_HELD_SUBMIT);
@@ -198,11 +198,11 @@
   if (outcome == RPC_OK && res->result == SW_REFUSED)
     attempt_ended (attempt, outcome, res);
   else
-    path_unproved (attempt);
+    fail_unanswered (attempt);
 }
 
 static void
-on_proof (RpcOutcome outcome, void *result, gpointer data)
+on_ping_answer (RpcOutcome outcome, void *result, gpointer data)
 {
   Pending *pending = data;
   Attempt *attempt = pending->attempt;
@@ -214,19 +214,20 @@
   if (outcome == RPC_OK)
     submit_now (attempt, SW_WHOLE);
   else
-    path_unproved (attempt);
+    fail_unanswered (attempt);
 }
 
 /* Pings the node first, before a request that may queue there is sent. */
 static void
-prove_path (Attempt *attempt)
+ping_before_submit (Attempt *attempt)
 {
   Node *node = attempt->exchange->owner->node;
 
   attempt->pending = g_new0 (Pending, 1);
   attempt->pending->attempt = attempt;
-  peers_ping (node->peers, attempt->target->vm, MIN (attempt->wait_us, PROOF_TIMEOUT_US),
-              on_proof, attempt->pending);
+  peers_ping (node->peers, attempt->target->vm,
+              MIN (attempt->wait_us, NODE_PING_TIMEOUT_US), on_ping_answer,
+              attempt->pending);
 }
 
 /* Asks the sidecar to hold a slot before the request is sent. */
@@ -236,29 +237,30 @@
   Node *node = attempt->exchange->owner->node;
   sw_submit_args args = { .phase = SW_ASK, .method = "", .path = "" };
 
-  fill_terms (attempt, &args);
+  fill_attempt_args (attempt, &args);
   attempt->pending = g_new0 (Pending, 1);
   attempt->pending->attempt = attempt;
   attempt->sent_bytes = xdr_sizeof ((xdrproc_t)xdr_sw_submit_args, &args);
-  peers_call (node->peers, attempt->target->vm, &submit, &args,
-              MIN (attempt->wait_us, attempt->local ? PROOF_TIMEOUT_US : SLOT_TIMEOUT_US),
-              on_slot_answer, attempt->pending);
+  peers_call (
+      node->peers, attempt->target->vm, &submit, &args,
+      MIN (attempt->wait_us, attempt->local ? NODE_PING_TIMEOUT_US : SLOT_TIMEOUT_US),
+      on_slot_answer, attempt->pending);
 }
 
 static gboolean
-is_proved (const Attempt *attempt)
+is_heard_recently (const Attempt *attempt)
 {
   Node *node = attempt->exchange->owner->node;
 
   return clock_now (node->clock) - peers_heard_us (node->peers, attempt->target->vm) <
-         PROVED_US;
+         HEARD_RECENTLY_US;
 }
 
 typedef enum
 {
   STEP_SUBMIT,
   STEP_ASK_FOR_SLOT,
-  STEP_PROVE_PATH
+  STEP_PING
 } FirstStep;
 
 /*
@@ -279,9 +281,9 @@
     return STEP_SUBMIT;
   if (!attempt->local && !attempt->may_queue)
     return STEP_ASK_FOR_SLOT;
-  if (is_proved (attempt))
+  if (is_heard_recently (attempt))
     return STEP_SUBMIT;
-  return attempt->may_queue ? STEP_PROVE_PATH : STEP_ASK_FOR_SLOT;
+  return attempt->may_queue ? STEP_PING : STEP_ASK_FOR_SLOT;
 }
 
 static void
@@ -291,16 +293,16 @@
   Exchange *exchange = attempt->exchange;
   DispatchStep step;
 
-  if (!attempt_opened (attempt))
+  if (!attempt_session_opened (attempt))
     return;
   if (!stamp)
     {
       attempt_ended (attempt, RPC_UNSENT, NULL);
       return;
     }
-  if (!attempt_name (attempt, stamp))
+  if (!attempt_assign_id (attempt, stamp))
     {
-      attempt_over (attempt);
+      attempt_detach (attempt);
       step = dispatch_sent (exchange->dispatch, DISPATCH_UNSURE, REASON_INCARNATION, 0);
       exchange_carry_out (exchange, &step);
       return;
@@ -311,8 +313,8 @@
     case STEP_ASK_FOR_SLOT:
       ask_for_slot (attempt);
       break;
-    case STEP_PROVE_PATH:
-      prove_path (attempt);
+    case STEP_PING:
+      ping_before_submit (attempt);
       break;
     default:
       submit_now (attempt, SW_WHOLE);
@@ -322,9 +324,9 @@
 
 /* The session may still be opened later, but this attempt does not wait for it. */
 static void
-on_patience_over (gpointer data)
+on_session_wait_over (gpointer data)
 {
-  path_unproved (data);
+  fail_unanswered (data);
 }
 
 void
@@ -339,8 +341,8 @@
   balancer_attempt_started (node->balancer, attempt->target->name);
   if (!attempt->exchange->ticket && !peers_has_session (node->peers, attempt->target->vm))
     {
-      attempt->patience = loop_timer_create (node->loop, on_patience_over, attempt);
-      loop_timer_start (attempt->patience, OPEN_PATIENCE_US);
+      attempt->patience = loop_timer_create (node->loop, on_session_wait_over, attempt);
+      loop_timer_start (attempt->patience, SESSION_WAIT_MAX_US);
     }
   peers_open (node->peers, attempt->target->vm, MIN (wait_us, OPEN_TIMEOUT_US),
               on_session, attempt);
--- a/daemon/src/request/attempt.c
+++ b/daemon/src/request/attempt.c
@@ -33,7 +33,7 @@
 }
 
 void
-attempt_over (Attempt *attempt)
+attempt_detach (Attempt *attempt)
 {
   drop_pending (attempt);
   if (attempt->out)
@@ -55,16 +55,17 @@
 {
   if (!attempt)
     return;
-  attempt_over (attempt);
+  attempt_detach (attempt);
   attempt->exchange = NULL;
   g_clear_pointer (&attempt->patience, loop_timer_destroy);
-  /* peers_open still calls back with the attempt; attempt_opened frees it then. */
+  /* peers_open still calls back with the attempt; attempt_session_opened frees it then.
+   */
   if (!attempt->opening)
     attempt_free (attempt);
 }
 
 gboolean
-attempt_opened (Attempt *attempt)
+attempt_session_opened (Attempt *attempt)
 {
   attempt->opening = FALSE;
   g_clear_pointer (&attempt->patience, loop_timer_destroy);
@@ -75,7 +76,7 @@
 }
 
 void
-attempt_fill (const Attempt *attempt, sw_attempt *words)
+attempt_fill_id (const Attempt *attempt, sw_attempt *words)
 {
   words->node = attempt->id.node;
   words->incarnation = attempt->id.incarnation;
@@ -98,7 +99,7 @@
   if (!attempt->submitted || exchange->ticket)
     return;
   attempt->submitted = FALSE;
-  attempt_fill (attempt, &args.attempt);
+  attempt_fill_id (attempt, &args.attempt);
   args.sidecar = attempt->stamp.incarnation;
   args.clock_us = (guint64)attempt->stamp.reading_us;
   args.target = attempt->target->name;
@@ -109,7 +110,7 @@
 }
 
 gboolean
-attempt_is_own (const Attempt *attempt, const sw_attempt *words)
+attempt_id_matches (const Attempt *attempt, const sw_attempt *words)
 {
   return words->counter == attempt->id.counter &&
          words->incarnation == attempt->id.incarnation &&
@@ -124,7 +125,7 @@
   /* A denied call is rejected before its procedure runs. */
   if (outcome == RPC_UNSENT || outcome == RPC_DENIED)
     return DISPATCH_UNSENT;
-  if (outcome != RPC_OK || !attempt_is_own (attempt, &res->attempt))
+  if (outcome != RPC_OK || !attempt_id_matches (attempt, &res->attempt))
     return DISPATCH_LOST;
   switch (res->result)
     {
@@ -212,7 +213,7 @@
 
 /* Moves the bytes sent for a refused attempt to the count of refused traffic. */
 static void
-count_refused (Attempt *attempt)
+recount_refused_bytes (Attempt *attempt)
 {
   const Node *node = attempt->exchange->owner->node;
 
@@ -230,7 +231,7 @@
   DispatchStep step;
 
   request_log_attempt_end (attempt, outcome, res);
-  attempt_over (attempt);
+  attempt_detach (attempt);
   attempt_note_path (attempt, outcome);
   attempt->submitted &= outcome == RPC_TIMEOUT || outcome == RPC_LOST;
   if (outcome == RPC_OK)
@@ -239,7 +240,7 @@
   if (report == DISPATCH_REFUSED || report == DISPATCH_UNSENT)
     note_refusal (attempt, outcome == RPC_OK ? reason : REASON_UNREACHABLE);
   if (report == DISPATCH_REFUSED)
-    count_refused (attempt);
+    recount_refused_bytes (attempt);
   if (attempt == exchange->hedge)
     {
       exchange_hedge_ended (exchange, report, reason);
@@ -247,7 +248,7 @@
     }
   if (exchange_promote_hedge (exchange, report, reason))
     return;
-  exchange_drop_hedge (exchange);
+  exchange_cancel_hedge (exchange);
   step = dispatch_sent (exchange->dispatch, report, reason,
                         outcome == RPC_OK ? (gint64)res->retry_after_ms * MS_US : 0);
   exchange_carry_out (exchange, &step);
--- a/daemon/src/request/dialect-own.c
+++ b/daemon/src/request/dialect-own.c
@@ -27,7 +27,7 @@
 }
 
 static const char *
-decode (const HttpRequest *request, CallerWords *words)
+decode (const HttpRequest *request, CallerRequest *words)
 {
   const char *text = http_request_header (request, DEADLINE_HEADER);
   guint64 ms;
--- a/daemon/src/request/dialect.c
+++ b/daemon/src/request/dialect.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 void
-caller_words_clear (CallerWords *words)
+caller_request_clear (CallerRequest *words)
 {
   g_clear_pointer (&words->parent, g_free);
   g_clear_pointer (&words->host, g_free);
--- a/daemon/src/request/dialect.h
+++ b/daemon/src/request/dialect.h
@@ -23,7 +23,7 @@
   char *host;   /* lower case, without a port; owned */
   char *path;   /* the path to match against the routes; owned */
   gint64 wait_us; /* how long the caller waits; 0 if it does not say */
-} CallerWords;
+} CallerRequest;
 
 /* The result of a request, as the caller is told it. */
 typedef struct
@@ -36,7 +36,7 @@
 typedef struct
 {
   /* Fills `words`; returns NULL, or an error message for the caller. */
-  const char *(*decode) (const HttpRequest *request, CallerWords *words);
+  const char *(*decode) (const HttpRequest *request, CallerRequest *words);
   /* Whether a caller's header is forwarded to the target; with `identified`, the fleet
      has checked the access key, which is then not forwarded. */
   gboolean (*forwards) (const char *name, gboolean identified);
@@ -79,6 +79,6 @@
 /* Returns the host of a request in lower case, without its port; the caller frees it. */
 char *dialect_host (const HttpRequest *request);
 
-void caller_words_clear (CallerWords *words);
+void caller_request_clear (CallerRequest *words);
 
 #endif
--- a/daemon/src/request/exchange-call.c
+++ b/daemon/src/request/exchange-call.c
@@ -4,7 +4,7 @@
                                     (xdrproc_t)xdr_sw_submit_res,
                                     sizeof (sw_submit_res) };
 static void
-on_asked (RpcOutcome outcome, void *result, gpointer data)
+on_fence_answer (RpcOutcome outcome, void *result, gpointer data)
 {
   Exchange *exchange = data;
   Attempt *attempt = exchange->attempt;
@@ -32,14 +32,14 @@
   attempt->retry = dispatch_retry_kind (exchange->dispatch);
   if (dispatch_attempts (exchange->dispatch) > 1)
     metrics_add (exchange->owner->node->metrics, METRIC_RETRIES, 1);
-  exchange_hedge_later (exchange);
+  exchange_schedule_hedge (exchange);
   attempt_send (attempt, step->wait_us, step->remaining_us);
 }
 
 /* Queries the fence of the incarnation that the attempt was sent to; a later one has no
    record of the attempt. */
 static void
-on_session_to_ask (const PeerStamp *stamp, gpointer data)
+on_fence_session (const PeerStamp *stamp, gpointer data)
 {
   Exchange *exchange = data;
   const Attempt *attempt = exchange->attempt;
@@ -48,7 +48,7 @@
 
   if (!stamp)
     {
-      on_asked (RPC_UNSENT, NULL, exchange);
+      on_fence_answer (RPC_UNSENT, NULL, exchange);
       return;
     }
   if (stamp->incarnation != attempt->stamp.incarnation)
@@ -58,17 +58,17 @@
       exchange_carry_out (exchange, &step);
       return;
     }
-  attempt_fill (attempt, &args.attempt);
+  attempt_fill_id (attempt, &args.attempt);
   args.sidecar = attempt->stamp.incarnation;
   args.clock_us = (guint64)attempt->stamp.reading_us;
   args.target = attempt->target->name;
   args.wait_ms = (u_int)(attempt->hold_us / MS_US);
   peers_call (exchange->owner->node->peers, attempt->target->vm, &fence, &args,
-              attempt->wait_us, on_asked, exchange);
+              attempt->wait_us, on_fence_answer, exchange);
 }
 
 void
-exchange_ask (Exchange *exchange, const DispatchStep *step)
+exchange_query_fence (Exchange *exchange, const DispatchStep *step)
 {
   Node *node = exchange->owner->node;
   Attempt *attempt = exchange->attempt;
@@ -77,6 +77,6 @@
   attempt->hold_us = step->hold_us;
   exchange->asking = TRUE;
   metrics_add (node->metrics, METRIC_FENCE_QUESTIONS, 1);
-  peers_open (node->peers, attempt->target->vm, step->wait_us, on_session_to_ask,
+  peers_open (node->peers, attempt->target->vm, step->wait_us, on_fence_session,
               exchange);
 }
--- a/daemon/src/request/exchange-choice.c
+++ b/daemon/src/request/exchange-choice.c
@@ -15,7 +15,7 @@
 
 /* Looks the service up in the newest configuration. */
 static void
-take_service (Attempt *attempt)
+refresh_service (Attempt *attempt)
 {
   const Exchange *exchange = attempt->exchange;
   Snapshot *newest = config_sync_snapshot (exchange->owner->node->config);
@@ -69,7 +69,7 @@
 gint64
 exchange_slack_us (const Exchange *exchange)
 {
-  LatencyFit fit = exchange_fit (exchange);
+  LatencyFit fit = exchange_latency_fit (exchange);
   gint64 elapsed = clock_now (exchange->owner->node->clock) - exchange->began_us;
   /* Without an objective, the deadline takes its place. */
   gint64 left = exchange->route->objective_us > 0
@@ -82,7 +82,7 @@
 /* Asks the balancer for a target that fits the step. After a refusal that does not
    concern load, no more trials are offered, because sidecars refuse most of them. */
 static BalancerChoice
-choose_at (const Attempt *attempt, PlacementStep step)
+choose_for_step (const Attempt *attempt, PlacementStep step)
 {
   const Exchange *exchange = attempt->exchange;
   gboolean may_try =
@@ -118,7 +118,7 @@
 }
 
 static BalancerChoice
-choose_by_plan (Attempt *attempt)
+choose_by_placement (Attempt *attempt)
 {
   Exchange *exchange = attempt->exchange;
   gint64 slack = exchange_slack_us (exchange);
@@ -131,7 +131,7 @@
       step = placement_next (&exchange->placement, slack, arrivals);
       if (step == PLACEMENT_EXHAUSTED)
         break;
-      choice = choose_at (attempt, step);
+      choice = choose_for_step (attempt, step);
       if (suits (&choice, step))
         break;
       placement_skip (&exchange->placement);
@@ -151,7 +151,7 @@
  * second after all processes of 353 nodes had been killed.
  */
 static gboolean
-may_look_again (const Exchange *exchange)
+may_choose_later (const Exchange *exchange)
 {
   const Node *node = exchange->owner->node;
 
@@ -161,7 +161,7 @@
 }
 
 static void
-look_again_later (Exchange *exchange)
+choose_later (Exchange *exchange)
 {
   exchange->placement = (Placement){ 0 };
   g_ptr_array_set_size (exchange->tried, 0);
@@ -171,7 +171,7 @@
 
 /* Stores the choice in the attempt; returns FALSE if there is no target. */
 static gboolean
-take_choice (Attempt *attempt, const BalancerChoice *choice)
+store_choice (Attempt *attempt, const BalancerChoice *choice)
 {
   Exchange *exchange = attempt->exchange;
 
@@ -198,7 +198,7 @@
   BalancerChoice choice = { .target = exchange_trial_target (attempt->exchange,
                                                              attempt->service) };
 
-  if (!take_choice (attempt, &choice))
+  if (!store_choice (attempt, &choice))
     return FALSE;
   attempt->trial = TRUE;
   attempt->may_queue = TRUE;
@@ -208,7 +208,7 @@
 }
 
 void
-exchange_choose (Exchange *exchange)
+exchange_choose_target (Exchange *exchange)
 {
   QuarantineVerdict verdict = exchange_quarantine (exchange);
   BalancerChoice choice = { 0 };
@@ -223,7 +223,7 @@
     attempt_cancel (exchange->attempt);
   attempt_destroy (exchange->attempt);
   exchange->attempt = attempt;
-  take_service (attempt);
+  refresh_service (attempt);
   if (exchange->ticket)
     {
       found = choose_ticket_target (attempt);
@@ -234,12 +234,12 @@
     }
   else
     {
-      choice = choose_by_plan (attempt);
-      found = take_choice (attempt, &choice);
+      choice = choose_by_placement (attempt);
+      found = store_choice (attempt, &choice);
     }
-  if (!found && !exchange->ticket && may_look_again (exchange))
+  if (!found && !exchange->ticket && may_choose_later (exchange))
     {
-      look_again_later (exchange);
+      choose_later (exchange);
       return;
     }
   step = dispatch_chosen (exchange->dispatch, found, choice.retry_after_us);
@@ -251,11 +251,11 @@
 {
   BalancerChoice choice;
 
-  take_service (attempt);
+  refresh_service (attempt);
   choice = choose_once (attempt, BALANCER_NO_TRIAL, BALANCER_OWN_FIRST,
                         BALANCER_SHEDDING_NEVER);
   /* A hedge is meant to avoid a slow target, so it is not sent to a sick one. */
   if (choice.sick)
     return FALSE;
-  return take_choice (attempt, &choice);
+  return store_choice (attempt, &choice);
 }
--- a/daemon/src/request/exchange-hedge.c
+++ b/daemon/src/request/exchange-hedge.c
@@ -4,33 +4,33 @@
 
 /* Delay before the next hedge after one that failed, mostly for want of a free slot, and
    the most hedges per exchange. */
-#define HEDGE_AGAIN_US (20 * MS_US)
+#define HEDGE_RETRY_US (20 * MS_US)
 #define HEDGES_MAX 8u
 /* While the latency of a route is unknown, a hedge is sent after this fraction (1/3) of
    the time to the deadline. That leaves a third for the hedge and a third to spare. */
-#define UNKNOWN_SHARE 3
+#define UNKNOWN_FIT_DIVISOR 3
 
 /* Returns the age at which an attempt that is sent now counts as late. */
 static gint64
-late_us (const Exchange *exchange)
+hedge_delay_us (const Exchange *exchange)
 {
-  LatencyFit fit = exchange_fit (exchange);
+  LatencyFit fit = exchange_latency_fit (exchange);
 
   if (latency_fit_is_known (&fit))
     return latency_fit_late_us (&fit);
-  return dispatch_remaining_us (exchange->dispatch) / UNKNOWN_SHARE;
+  return dispatch_remaining_us (exchange->dispatch) / UNKNOWN_FIT_DIVISOR;
 }
 
 void
-exchange_hedge_later (Exchange *exchange)
+exchange_schedule_hedge (Exchange *exchange)
 {
   /* A request that may queue can be late because of the queue alone. */
   if (!exchange->attempt->may_queue && dispatch_may_hedge (exchange->dispatch))
-    loop_timer_start (exchange->hedge_timer, late_us (exchange));
+    loop_timer_start (exchange->hedge_timer, hedge_delay_us (exchange));
 }
 
 void
-exchange_drop_hedge (Exchange *exchange)
+exchange_cancel_hedge (Exchange *exchange)
 {
   loop_timer_stop (exchange->hedge_timer);
   if (!exchange->hedge)
@@ -102,7 +102,7 @@
   attempt_destroy (exchange->hedge);
   exchange->hedge = NULL;
   dispatch_hedge_over (exchange->dispatch, report, reason);
-  loop_timer_start (exchange->hedge_timer, HEDGE_AGAIN_US);
+  loop_timer_start (exchange->hedge_timer, HEDGE_RETRY_US);
 }
 
 gboolean
--- a/daemon/src/request/exchange-private.h
+++ b/daemon/src/request/exchange-private.h
@@ -102,7 +102,7 @@
 void exchange_carry_out (Exchange *exchange, const DispatchStep *step);
 
 /* Chooses a target for the next attempt and continues with it. May free the exchange. */
-void exchange_choose (Exchange *exchange);
+void exchange_choose_target (Exchange *exchange);
 
 /* Chooses a target for a hedge, from those that seem to have a free slot; returns FALSE
    if there is none. */
@@ -130,16 +130,16 @@
 void attempt_cancel (Attempt *attempt);
 
 /* Ignores the result of a call in flight, and ends the attempt at the balancer. */
-void attempt_over (Attempt *attempt);
+void attempt_detach (Attempt *attempt);
 
 /* Marks the opening of a session as finished. Returns FALSE, and frees the attempt, if it
    was destroyed meanwhile. */
-gboolean attempt_opened (Attempt *attempt);
+gboolean attempt_session_opened (Attempt *attempt);
 
 /* Fills `words` with the attempt's identifier; the node name is borrowed. */
-void attempt_fill (const Attempt *attempt, sw_attempt *words);
+void attempt_fill_id (const Attempt *attempt, sw_attempt *words);
 /* Whether `words` is the attempt's identifier. */
-gboolean attempt_is_own (const Attempt *attempt, const sw_attempt *words);
+gboolean attempt_id_matches (const Attempt *attempt, const sw_attempt *words);
 
 /* Records what the outcome of a call tells about the path to the target's node. */
 void attempt_note_path (const Attempt *attempt, RpcOutcome outcome);
@@ -157,12 +157,12 @@
 
 /* Gives the attempt an identifier and the sidecar's stamp. A ticket already has both;
    returns FALSE if its sidecar has been restarted since. */
-gboolean attempt_name (Attempt *attempt, const PeerStamp *stamp);
+gboolean attempt_assign_id (Attempt *attempt, const PeerStamp *stamp);
 
 /* Sends the attempt to the target that was chosen. */
 void exchange_send (Exchange *exchange, const DispatchStep *step);
 /* Queries the fence about the last attempt. */
-void exchange_ask (Exchange *exchange, const DispatchStep *step);
+void exchange_query_fence (Exchange *exchange, const DispatchStep *step);
 
 /* Translates the result of a call for the dispatch; an answer to another attempt counts
    as lost. The exchange takes ownership of a target's whole answer. */
@@ -173,14 +173,14 @@
 gint64 exchange_slack_us (const Exchange *exchange);
 
 /* Returns the latency distribution of the exchange's route, as far as it is known. */
-LatencyFit exchange_fit (const Exchange *exchange);
+LatencyFit exchange_latency_fit (const Exchange *exchange);
 
 /* Schedules a hedge in case the attempt that is sent now takes too long. */
-void exchange_hedge_later (Exchange *exchange);
+void exchange_schedule_hedge (Exchange *exchange);
 /* Callback of `hedge_timer`: sends a hedge if one is allowed; `data` is the exchange. */
 void exchange_on_hedge_timer (gpointer data);
 /* Stops the hedge timer, and cancels a hedge that is in flight. */
-void exchange_drop_hedge (Exchange *exchange);
+void exchange_cancel_hedge (Exchange *exchange);
 /* Handles the end of the hedge. May free the exchange. */
 void exchange_hedge_ended (Exchange *exchange, DispatchReport report, Reason reason);
 /* Replaces an attempt that ended without success by the hedge that is in flight; returns
--- a/daemon/src/request/exchange-quarantine.c
+++ b/daemon/src/request/exchange-quarantine.c
@@ -75,7 +75,7 @@
 
 /* Whether a target is fit for a trial; the result of a sick one would prove nothing. */
 static gboolean
-is_sound (const Exchange *exchange, const Service *service, const Target *target)
+is_fit_for_trial (const Exchange *exchange, const Service *service, const Target *target)
 {
   TargetStatus status =
       balancer_status (exchange->owner->node->balancer, service, target);
@@ -99,7 +99,7 @@
       const Target *target = g_ptr_array_index (service->targets, i);
       guint rank = (g_str_hash (target->name) ^ (guint)head) * 2654435761u;
 
-      if ((best && rank <= best_rank) || !is_sound (exchange, service, target))
+      if ((best && rank <= best_rank) || !is_fit_for_trial (exchange, service, target))
         continue;
       best = target;
       best_rank = rank;
--- a/daemon/src/request/exchange.c
+++ b/daemon/src/request/exchange.c
@@ -35,7 +35,7 @@
 static void
 cancel_attempts (Exchange *exchange)
 {
-  exchange_drop_hedge (exchange);
+  exchange_cancel_hedge (exchange);
   if (exchange->attempt)
     attempt_cancel (exchange->attempt);
 }
@@ -58,9 +58,9 @@
   if (step->outcome != OUTCOME_DONE)
     cancel_attempts (exchange);
   if (step->outcome == OUTCOME_DONE)
-    answer_pass (dialect, exchange->request, &exchange->answer);
+    answer_forward (dialect, exchange->request, &exchange->answer);
   else
-    answer_give_up (dialect, exchange->request, exchange->id, &verdict);
+    answer_failure (dialect, exchange->request, exchange->id, &verdict);
 }
 
 static void
@@ -78,12 +78,12 @@
   Exchange *exchange = data;
 
   exchange->abandoned = TRUE;
-  request_log_gone (exchange);
+  request_log_caller_gone (exchange);
   cancel_attempts (exchange);
 }
 
 static void
-on_pause_over (gpointer data)
+on_retry_timer (gpointer data)
 {
   Exchange *exchange = data;
   DispatchStep step = dispatch_resume (exchange->dispatch);
@@ -117,13 +117,13 @@
   switch (step->kind)
     {
     case DISPATCH_CHOOSE:
-      exchange_choose (exchange);
+      exchange_choose_target (exchange);
       break;
     case DISPATCH_SEND:
       exchange_send (exchange, step);
       break;
     case DISPATCH_ASK:
-      exchange_ask (exchange, step);
+      exchange_query_fence (exchange, step);
       break;
     case DISPATCH_PAUSE:
       loop_timer_start (exchange->timer, step->wait_us);
@@ -192,7 +192,7 @@
   exchange->began_us = http_request_taken_us (order->request);
   exchange->tried = g_ptr_array_new_with_free_func (g_free);
   exchange->busy = g_ptr_array_new_with_free_func (g_free);
-  exchange->timer = loop_timer_create (node->loop, on_pause_over, exchange);
+  exchange->timer = loop_timer_create (node->loop, on_retry_timer, exchange);
   exchange->hedge_timer =
       loop_timer_create (node->loop, exchange_on_hedge_timer, exchange);
   policy.deadline_us = exchange->began_us + order->span_us;
@@ -233,7 +233,7 @@
       exchange_free (exchange);
       return;
     }
-  attempt_name (attempt, stamp);
+  attempt_assign_id (attempt, stamp);
   ticket.service = exchange->service;
   ticket.vm = attempt->target->vm;
   ticket.target = attempt->target->name;
@@ -247,7 +247,7 @@
 }
 
 void
-exchanges_give_ticket (Exchanges *exchanges, const ExchangeOrder *order)
+exchanges_issue_ticket (Exchanges *exchanges, const ExchangeOrder *order)
 {
   Exchange *exchange = exchange_create (exchanges, order);
   Attempt *attempt = attempt_create (exchange);
@@ -290,7 +290,7 @@
 }
 
 guint
-exchanges_cut (Exchanges *exchanges)
+exchanges_abort (Exchanges *exchanges)
 {
   g_autoptr (GList) all = g_hash_table_get_keys (exchanges->set);
   guint count = 0;
--- a/daemon/src/request/exchange.h
+++ b/daemon/src/request/exchange.h
@@ -36,9 +36,9 @@
 void exchanges_begin (Exchanges *exchanges, const ExchangeOrder *order);
 
 /* Answers with a ticket for the order's service instead of running the request. */
-void exchanges_give_ticket (Exchanges *exchanges, const ExchangeOrder *order);
+void exchanges_issue_ticket (Exchanges *exchanges, const ExchangeOrder *order);
 
 /* Answers all exchanges immediately, for a forced stop; returns their number. */
-guint exchanges_cut (Exchanges *exchanges);
+guint exchanges_abort (Exchanges *exchanges);
 
 #endif
--- a/daemon/src/request/ingress.c
+++ b/daemon/src/request/ingress.c
@@ -29,7 +29,7 @@
 
 /* Returns the route's deadline, or the caller's if that is shorter. */
 static gint64
-deadline_span (const CallerWords *words, const Route *route)
+deadline_span (const CallerRequest *words, const Route *route)
 {
   if (words->wait_us <= 0)
     return route->deadline_us;
@@ -57,7 +57,7 @@
     }
   if (strcmp (text, TICKET_NEW) == 0)
     {
-      exchanges_give_ticket (ingress->exchanges, order);
+      exchanges_issue_ticket (ingress->exchanges, order);
       return;
     }
   order->ticket = ticket_parse (text, ingress->node->settings->fleet_token);
@@ -86,7 +86,7 @@
 
 /* Finds route and service; if there are none, answers and returns FALSE. */
 static gboolean
-find_route (Ingress *ingress, const CallerWords *words, ExchangeOrder *order)
+find_route (Ingress *ingress, const CallerRequest *words, ExchangeOrder *order)
 {
   const char *method = http_request_method (order->request);
 
@@ -102,7 +102,7 @@
 
 /* Finds the account; if the caller may not use the route, answers and returns FALSE. */
 static gboolean
-find_account (Ingress *ingress, const CallerWords *words, ExchangeOrder *order)
+find_account (Ingress *ingress, const CallerRequest *words, ExchangeOrder *order)
 {
   const Dialect *dialect = dialect_of (ingress);
   Identity identity = identity_find (dialect, order->request, order->snapshot,
@@ -121,7 +121,7 @@
 /* Marks the order as a target's call, and returns the account priority of the request for
    which the target makes it. */
 static guint
-take_call_terms (Ingress *ingress, const CallerWords *words, ExchangeOrder *order)
+take_call_terms (Ingress *ingress, const CallerRequest *words, ExchangeOrder *order)
 {
   CallTerms terms = sidecar_call_terms (ingress->node->sidecar, words->parent);
 
@@ -131,7 +131,7 @@
 }
 
 static void
-route_request (Ingress *ingress, HttpRequest *request, const CallerWords *words)
+route_request (Ingress *ingress, HttpRequest *request, const CallerRequest *words)
 {
   /* Requests without an account rank with the lowest account priority. */
   guint priority = CONFIG_ACCOUNT_PRIORITIES - 1;
@@ -192,7 +192,7 @@
 {
   Ingress *ingress = data;
   const Dialect *dialect = dialect_of (ingress);
-  CallerWords words = { 0 };
+  CallerRequest words = { 0 };
   const char *fault;
   const char *why = unavailable (ingress);
 
@@ -208,7 +208,7 @@
     answer_error (dialect, request, words.id, HTTP_BAD_REQUEST, fault);
   else
     route_request (ingress, request, &words);
-  caller_words_clear (&words);
+  caller_request_clear (&words);
 }
 
 /* Counts a connection that was closed because the caller stopped reading its answer. */
@@ -283,9 +283,10 @@
 }
 
 guint
-ingress_cut (Ingress *ingress)
+ingress_abort (Ingress *ingress)
 {
-  return allowances_cut (ingress->node->allowances) + exchanges_cut (ingress->exchanges);
+  return allowances_abort (ingress->node->allowances) +
+         exchanges_abort (ingress->exchanges);
 }
 
 guint
--- a/daemon/src/request/ingress.h
+++ b/daemon/src/request/ingress.h
@@ -21,7 +21,7 @@
  * Answers all requests in flight immediately, for a forced stop: "not run" if no attempt
  * was sent, else "unknown". Returns their number.
  */
-guint ingress_cut (Ingress *ingress);
+guint ingress_abort (Ingress *ingress);
 
 /* Returns the number of requests in flight. */
 guint ingress_active (const Ingress *ingress);
--- a/daemon/src/request/request-log.c
+++ b/daemon/src/request/request-log.c
@@ -2,13 +2,13 @@
 
 #include <core/http-status.h>
 
-#include "attempt-name.h"
+#include "attempt-id.h"
 #include "log.h"
 
 /* Returns NULL while the attempt has no identifier, which it gets once a session with its
    node is open. */
 static char *
-own_attempt_name (const Attempt *attempt)
+own_attempt_id_text (const Attempt *attempt)
 {
   sw_attempt words = { 0 };
 
@@ -17,7 +17,7 @@
   words.node = attempt->id.node;
   words.incarnation = attempt->id.incarnation;
   words.counter = attempt->id.counter;
-  return attempt_name_text (&words);
+  return attempt_id_text (&words);
 }
 
 static const char *
@@ -30,7 +30,7 @@
 request_log_attempt (const Attempt *attempt)
 {
   const Exchange *exchange = attempt->exchange;
-  g_autofree char *name = own_attempt_name (attempt);
+  g_autofree char *name = own_attempt_id_text (attempt);
   g_autofree char *number =
       g_strdup_printf ("%u", dispatch_attempts (exchange->dispatch));
   g_autofree char *left =
@@ -63,7 +63,7 @@
   /* request_log_end reports the target's answer. */
   if (answered && res->result == SW_DONE)
     return;
-  name = own_attempt_name (attempt);
+  name = own_attempt_id_text (attempt);
   if (answered)
     {
       in_use = g_strdup_printf ("%u", res->state.in_use);
@@ -77,7 +77,7 @@
 }
 
 void
-request_log_gone (const Exchange *exchange)
+request_log_caller_gone (const Exchange *exchange)
 {
   log_event (G_LOG_LEVEL_INFO, "caller-gone", "ID", exchange->id, "SENT",
              yes_no (exchange->attempt && exchange->attempt->submitted), NULL);
@@ -87,7 +87,7 @@
 request_log_end (const Exchange *exchange, const DispatchStep *step, gint64 took_us)
 {
   gboolean done = step->outcome == OUTCOME_DONE;
-  g_autofree char *attempt = own_attempt_name (exchange->attempt);
+  g_autofree char *attempt = own_attempt_id_text (exchange->attempt);
   g_autofree char *took = g_strdup_printf ("%" G_GINT64_FORMAT, took_us);
   /* The dispatch does not count the attempt with a good answer as an arrival. */
   guint answered = done && exchange->answer.status < HTTP_SERVER_ERROR;
--- a/daemon/src/request/request-log.h
+++ b/daemon/src/request/request-log.h
@@ -16,7 +16,7 @@
                               RpcOutcome outcome,
                               const sw_submit_res *res);
 /* Logs that the caller has hung up. */
-void request_log_gone (const Exchange *exchange);
+void request_log_caller_gone (const Exchange *exchange);
 /* Logs the final answer. */
 void request_log_end (const Exchange *exchange, const DispatchStep *step, gint64 took_us);
 
--- a/daemon/src/request/ticket.c
+++ b/daemon/src/request/ticket.c
@@ -43,7 +43,7 @@
 }
 
 static Ticket *
-from_fields (char **fields)
+ticket_from_fields (char **fields)
 {
   AttemptId id = { .node = fields[0] };
   guint64 incarnation;
@@ -76,7 +76,7 @@
     return NULL;
   words = g_strndup (text, (gsize)(last - text));
   mac = seal (words, fleet_token);
-  return settings_secret_equal (mac, last + 1) ? from_fields (fields) : NULL;
+  return settings_secret_equal (mac, last + 1) ? ticket_from_fields (fields) : NULL;
 }
 
 void
--- a/daemon/src/target/submission.c
+++ b/daemon/src/target/submission.c
@@ -6,7 +6,7 @@
 #include <wire/convert.h>
 
 #include "adapter.h"
-#include "attempt-name.h"
+#include "attempt-id.h"
 #include "log.h"
 #include "peers.h"
 
@@ -146,7 +146,7 @@
   FingerprintInput words = submission_words (submission);
   WatchedTarget where = { target->name, target->service, target->address };
   BrokenWork work = { .prints = fingerprint_all (node->fingerprints, &words),
-                      .attempt = attempt_name_text (&submission->args.attempt),
+                      .attempt = attempt_id_text (&submission->args.attempt),
                       .trial = submission->quarantine_trial,
                       .ran_us = clock_now (node->clock) - submission->started_us };
 
@@ -193,7 +193,7 @@
 {
   g_autofree char *status = g_strdup_printf ("%u", result->status);
   g_autofree char *took = g_strdup_printf ("%" G_GINT64_FORMAT, result->took_us);
-  g_autofree char *attempt = attempt_name_text (&submission->args.attempt);
+  g_autofree char *attempt = attempt_id_text (&submission->args.attempt);
 
   log_event (G_LOG_LEVEL_INFO, "target-failed", "ATTEMPT", attempt, "TARGET",
              submission->target->name, "EVEN_SICK",
