--- a/daemon/src/member/gossip-send.c
+++ b/daemon/src/member/gossip-send.c
@@ -18,7 +18,7 @@
   if (!message->subject)
     message->subject = "";
   gossip_put_news (node, to, message);
-  quarantine_node_put_news (node->quarantine, to, message);
+  quarantine_node_fill_gossip (node->quarantine, to, message);
   message->store_era = platform_era_get (node->era);
   config_sync_put_evacuations (node->config, &message->evacuations);
 }
@@ -27,7 +27,7 @@
 drop_filled (sw_gossip *message)
 {
   gossip_drop_news (message);
-  quarantine_node_drop_news (message);
+  quarantine_node_clear_gossip (message);
   config_sync_drop_evacuations (&message->evacuations);
 }
 
--- a/daemon/src/member/gossip.c
+++ b/daemon/src/member/gossip.c
@@ -61,7 +61,7 @@
 
   if (any && !peers_in_own_hall (node, message->from))
     loop_timer_start (gossip->retell, RETELL_US);
-  if (quarantine_node_take_news (node->quarantine, message))
+  if (quarantine_node_merge_gossip (node->quarantine, message))
     gossip_spread (gossip);
   config_sync_note_generation (node->config, message->from, message->generation);
   platform_era_note (node->era, message->store_era);
--- a/daemon/src/node/node.c
+++ b/daemon/src/node/node.c
@@ -227,7 +227,7 @@
   node->gossip = gossip_create (node, error);
   if (!node->gossip)
     return FALSE;
-  quarantine_node_set_news (node->quarantine, on_quarantine_news, node);
+  quarantine_node_set_notify (node->quarantine, on_quarantine_news, node);
   run->rpc = rpc_server_create (node->loop, node->settings->nodes_address, &limits,
                                 calls_handle, node, error);
   if (!run->rpc)
--- a/daemon/src/quarantine/quarantine-node.c
+++ b/daemon/src/quarantine/quarantine-node.c
@@ -3,14 +3,14 @@
 #include <core/json-write.h>
 
 #include "log.h"
-#include "quarantine-words.h"
+#include "quarantine-wire.h"
 
 struct QuarantineNode
 {
   Node *node;
   Quarantine *list;
-  QuarantineNewsFunc news_func; /* may be NULL */
-  gpointer news_data;
+  QuarantineNotifyFunc notify_func; /* may be NULL */
+  gpointer notify_data;
   GHashTable *behind; /* set of names of members whose list differs from this node's */
 };
 
@@ -55,12 +55,12 @@
 }
 
 void
-quarantine_node_set_news (QuarantineNode *quarantine,
-                          QuarantineNewsFunc func,
-                          gpointer data)
+quarantine_node_set_notify (QuarantineNode *quarantine,
+                            QuarantineNotifyFunc func,
+                            gpointer data)
 {
-  quarantine->news_func = func;
-  quarantine->news_data = data;
+  quarantine->notify_func = func;
+  quarantine->notify_data = data;
 }
 
 gboolean
@@ -71,7 +71,7 @@
 }
 
 static gboolean
-knows_any_head (const Quarantine *list, const Fingerprints *prints)
+has_any_head (const Quarantine *list, const Fingerprints *prints)
 {
   for (guint i = 0; i < prints->count; i++)
     if (quarantine_has_head (list, prints->of[i].head))
@@ -82,15 +82,15 @@
 /* Returns whether the request may have an entry. If so, its fingerprints are complete
    afterwards. */
 static gboolean
-may_know (const QuarantineNode *quarantine,
-          RequestPrint *print,
-          const FingerprintInput *words)
+may_have_entry (const QuarantineNode *quarantine,
+                RequestFingerprints *print,
+                const FingerprintInput *words)
 {
   const FingerprintKey *key = quarantine->node->fingerprints;
 
   if (print->prints.count == 0)
     print->prints = fingerprint_heads (key, words);
-  if (!knows_any_head (quarantine->list, &print->prints))
+  if (!has_any_head (quarantine->list, &print->prints))
     return FALSE;
   if (!print->has_body)
     fingerprint_add_body (key, words, &print->prints);
@@ -102,18 +102,18 @@
 static void
 tell (QuarantineNode *quarantine)
 {
-  if (quarantine->news_func && quarantine_urgency (quarantine->list))
-    quarantine->news_func (quarantine->news_data);
+  if (quarantine->notify_func && quarantine_urgency (quarantine->list))
+    quarantine->notify_func (quarantine->notify_data);
 }
 
 QuarantineVerdict
 quarantine_node_check (QuarantineNode *quarantine,
-                       RequestPrint *print,
+                       RequestFingerprints *print,
                        const FingerprintInput *words)
 {
   QuarantineVerdict worst = { QUARANTINE_FREE, 0 };
 
-  if (!may_know (quarantine, print, words))
+  if (!may_have_entry (quarantine, print, words))
     return worst;
   for (guint i = 0; i < print->prints.count; i++)
     {
@@ -141,7 +141,7 @@
 
 gboolean
 quarantine_node_admits (QuarantineNode *quarantine,
-                        RequestPrint *print,
+                        RequestFingerprints *print,
                         const FingerprintInput *words,
                         gboolean offered,
                         gboolean *trial,
@@ -160,10 +160,10 @@
 
 void
 quarantine_node_note_answer (QuarantineNode *quarantine,
-                             RequestPrint *print,
+                             RequestFingerprints *print,
                              const FingerprintInput *words)
 {
-  if (!may_know (quarantine, print, words))
+  if (!may_have_entry (quarantine, print, words))
     return;
   for (guint i = 0; i < print->prints.count; i++)
     {
@@ -206,7 +206,9 @@
 }
 
 void
-quarantine_node_put_news (QuarantineNode *quarantine, const char *to, sw_gossip *message)
+quarantine_node_fill_gossip (QuarantineNode *quarantine,
+                             const char *to,
+                             sw_gossip *message)
 {
   QuarantineNews news[SW_QUARANTINE_MAX];
   gboolean all = to && g_hash_table_remove (quarantine->behind, to);
@@ -217,11 +219,11 @@
   message->quarantine.quarantine_val = g_new0 (sw_quarantine, count + 1);
   message->quarantine.quarantine_len = count;
   for (guint i = 0; i < count; i++)
-    quarantine_words_fill (&news[i], &message->quarantine.quarantine_val[i]);
+    quarantine_wire_fill (&news[i], &message->quarantine.quarantine_val[i]);
 }
 
 void
-quarantine_node_drop_news (sw_gossip *message)
+quarantine_node_clear_gossip (sw_gossip *message)
 {
   for (guint i = 0; i < message->quarantine.quarantine_len; i++)
     g_free (message->quarantine.quarantine_val[i].ends.ends_val);
@@ -229,7 +231,7 @@
 }
 
 gboolean
-quarantine_node_take_news (QuarantineNode *quarantine, const sw_gossip *message)
+quarantine_node_merge_gossip (QuarantineNode *quarantine, const sw_gossip *message)
 {
   gboolean any = FALSE;
 
@@ -237,7 +239,7 @@
     {
       QuarantineNews news;
 
-      if (quarantine_words_read (&message->quarantine.quarantine_val[i], &news))
+      if (quarantine_wire_read (&message->quarantine.quarantine_val[i], &news))
         any |= quarantine_merge (quarantine->list, &news);
     }
   if (any)
--- a/daemon/src/quarantine/quarantine-node.h
+++ b/daemon/src/quarantine/quarantine-node.h
@@ -21,16 +21,16 @@
   gboolean has_body;
   guint worst; /* index of the fingerprint with the worst verdict, after a check */
   Fingerprints prints;
-} RequestPrint;
+} RequestFingerprints;
 
 /* Called when there are updates to disseminate soon. */
-typedef void (*QuarantineNewsFunc) (gpointer data);
+typedef void (*QuarantineNotifyFunc) (gpointer data);
 
 QuarantineNode *quarantine_node_create (Node *node);
 void quarantine_node_destroy (QuarantineNode *quarantine);
-void quarantine_node_set_news (QuarantineNode *quarantine,
-                               QuarantineNewsFunc func,
-                               gpointer data);
+void quarantine_node_set_notify (QuarantineNode *quarantine,
+                                 QuarantineNotifyFunc func,
+                                 gpointer data);
 
 /* Returns whether the quarantine has entries for the service. Only then are the next
    three functions called, so that other requests need no fingerprint. */
@@ -39,14 +39,14 @@
 /* Returns the worst verdict on any of the request's fingerprints. Those that `print`
    lacks are computed from `words`. */
 QuarantineVerdict quarantine_node_check (QuarantineNode *quarantine,
-                                         RequestPrint *print,
+                                         RequestFingerprints *print,
                                          const FingerprintInput *words);
 
 /* Returns whether the sidecar may start a request. A quarantined request may start only
    as a trial that is due, if the attempt was `offered` as one. `*trial` is set only for a
    quarantined request: to whether it starts as a trial. */
 gboolean quarantine_node_admits (QuarantineNode *quarantine,
-                                 RequestPrint *print,
+                                 RequestFingerprints *print,
                                  const FingerprintInput *words,
                                  gboolean offered,
                                  gboolean *trial,
@@ -54,7 +54,7 @@
 
 /* Notes that a request has had a good answer from a target of this VM. */
 void quarantine_node_note_answer (QuarantineNode *quarantine,
-                                  RequestPrint *print,
+                                  RequestFingerprints *print,
                                   const FingerprintInput *words);
 /* Notes that a trial on this VM ended with neither a good answer nor a crash. */
 void quarantine_node_trial_undecided (QuarantineNode *quarantine,
@@ -72,13 +72,15 @@
                                    const char *version);
 
 /* Adds updates to a message for the member `to`, NULL if the receiver is not known.
-   quarantine_node_drop_news frees them. */
-void
-quarantine_node_put_news (QuarantineNode *quarantine, const char *to, sw_gossip *message);
-void quarantine_node_drop_news (sw_gossip *message);
+   quarantine_node_clear_gossip frees them. */
+void quarantine_node_fill_gossip (QuarantineNode *quarantine,
+                                  const char *to,
+                                  sw_gossip *message);
+void quarantine_node_clear_gossip (sw_gossip *message);
 /* Merges the updates of a message. Returns TRUE if they changed something and have to be
    disseminated. */
-gboolean quarantine_node_take_news (QuarantineNode *quarantine, const sw_gossip *message);
+gboolean quarantine_node_merge_gossip (QuarantineNode *quarantine,
+                                       const sw_gossip *message);
 QuarantineUrgency quarantine_node_urgency (const QuarantineNode *quarantine);
 
 /* Called periodically: quarantines and forgets entries whose time has come. */
--- a/daemon/src/quarantine/quarantine-words.h
+++ b/daemon/src/quarantine/quarantine-wire.h
@@ -2,15 +2,15 @@
  * Converts quarantine updates to and from the form in which messages between nodes carry
  * them. Ages are in whole milliseconds there.
  */
-#ifndef DAEMON_QUARANTINE_WORDS_H
-#define DAEMON_QUARANTINE_WORDS_H
+#ifndef DAEMON_QUARANTINE_WIRE_H
+#define DAEMON_QUARANTINE_WIRE_H
 
 #include <core/quarantine.h>
 #include <wire/message.h>
 
 /* Fills in `words`; the caller frees its array of ends. */
-void quarantine_words_fill (const QuarantineNews *news, sw_quarantine *words);
+void quarantine_wire_fill (const QuarantineNews *news, sw_quarantine *words);
 /* Returns FALSE if `words` has more than QUARANTINE_ENDS_KEPT ends. */
-gboolean quarantine_words_read (const sw_quarantine *words, QuarantineNews *news);
+gboolean quarantine_wire_read (const sw_quarantine *words, QuarantineNews *news);
 
 #endif
--- a/daemon/src/request/exchange-private.h
+++ b/daemon/src/request/exchange-private.h
@@ -85,7 +85,7 @@
   GPtrArray *tried; /* names of targets that are not chosen again */
   GPtrArray *busy;  /* names of targets without a free slot; not in `tried` */
   Placement placement;
-  RequestPrint print;
+  RequestFingerprints print;
   guint unproved;   /* refusals for REASON_UNPROVED */
   Attempt *attempt; /* the last attempt but for the hedge; NULL before the first */
   Attempt *hedge;   /* in flight in parallel with `attempt`, or NULL */
--- a/daemon/src/request/ingress.c
+++ b/daemon/src/request/ingress.c
@@ -121,9 +121,9 @@
 /* Marks the order as a target's call, and returns the account priority of the request for
    which the target makes it. */
 static guint
-take_call_terms (Ingress *ingress, const CallerRequest *words, ExchangeOrder *order)
+inherit_call_context (Ingress *ingress, const CallerRequest *words, ExchangeOrder *order)
 {
-  CallTerms terms = sidecar_call_terms (ingress->node->sidecar, words->parent);
+  SidecarCallContext terms = sidecar_call_context (ingress->node->sidecar, words->parent);
 
   order->call = TRUE;
   order->repeat = terms.repeat;
@@ -142,7 +142,7 @@
   if (!find_route (ingress, words, &order) || !find_account (ingress, words, &order))
     return;
   if (words->parent)
-    priority = take_call_terms (ingress, words, &order);
+    priority = inherit_call_context (ingress, words, &order);
   if (order.account)
     priority = order.account->priority;
   order.priority = identity_rank (priority, order.route);
--- a/daemon/src/target/end-watch.c
+++ b/daemon/src/target/crash-watch.c
@@ -1,4 +1,4 @@
-#include "end-watch.h"
+#include "crash-watch.h"
 
 #include <io/connect-check.h>
 
@@ -6,47 +6,47 @@
 
 /* Time for which broken attempts are collected. The connections of a crashing process
    break within a millisecond of each other. */
-#define GATHER_US (5 * MS_US)
+#define COLLECT_US (5 * MS_US)
 /* On the same VM a refused connection is reported within a round trip. */
 #define CHECK_TIMEOUT_US (100 * MS_US)
 /* Least time between checks of a target. In a bad spell a target breaks off most
    requests, and each check costs it a connection. */
-#define CHECK_GAP_US (50 * MS_US)
+#define CHECK_INTERVAL_MIN_US (50 * MS_US)
 /* Broken attempts kept for one target; with more, a crash tells little about each. */
-#define WORK_MAX 32u
+#define BROKEN_ATTEMPTS_MAX 32u
 
 /* Broken attempts at one target, until it is known whether it has crashed. */
 typedef struct
 {
-  EndWatches *owner;
+  CrashWatches *owner;
   char *target;
   char *service;
   char *address;
-  GArray *work; /* of BrokenWork */
+  GArray *work; /* of BrokenAttempt */
   gint64 first_break_us;
   gint64 checked_us; /* when the last check began */
   LoopTimer *timer;
   ConnectCheck *check; /* NULL if no check is in progress */
-} EndWatch;
+} CrashWatch;
 
-struct EndWatches
+struct CrashWatches
 {
   const Node *node;
-  const EndWatchOwner *owner;
+  const CrashWatchOwner *owner;
   gpointer data;
-  GHashTable *by_target; /* name → EndWatch */
+  GHashTable *by_target; /* name → CrashWatch */
 };
 
 static void
-clear_work (gpointer data)
+clear_broken_attempt (gpointer data)
 {
-  g_free (((BrokenWork *)data)->attempt);
+  g_free (((BrokenAttempt *)data)->attempt);
 }
 
 static void
-end_watch_free (gpointer data)
+crash_watch_free (gpointer data)
 {
-  EndWatch *watch = data;
+  CrashWatch *watch = data;
 
   connect_check_destroy (watch->check);
   loop_timer_destroy (watch->timer);
@@ -57,21 +57,21 @@
   g_free (watch);
 }
 
-EndWatches *
-end_watches_create (const Node *node, const EndWatchOwner *owner, gpointer data)
+CrashWatches *
+crash_watches_create (const Node *node, const CrashWatchOwner *owner, gpointer data)
 {
-  EndWatches *watches = g_new0 (EndWatches, 1);
+  CrashWatches *watches = g_new0 (CrashWatches, 1);
 
   watches->node = node;
   watches->owner = owner;
   watches->data = data;
   watches->by_target =
-      g_hash_table_new_full (g_str_hash, g_str_equal, NULL, end_watch_free);
+      g_hash_table_new_full (g_str_hash, g_str_equal, NULL, crash_watch_free);
   return watches;
 }
 
 void
-end_watches_destroy (EndWatches *watches)
+crash_watches_destroy (CrashWatches *watches)
 {
   if (!watches)
     return;
@@ -80,7 +80,7 @@
 }
 
 static void
-log_work (const EndWatch *watch, const BrokenWork *work)
+log_broken_attempt (const CrashWatch *watch, const BrokenAttempt *work)
 {
   const Fingerprints *prints = &work->prints;
   g_autofree char *request = fingerprint_text (&prints->of[0]);
@@ -105,13 +105,13 @@
 /* Returns the fingerprints of the broken attempts. Several attempts may carry the same
    request, which counts once. The caller frees the array. */
 static GArray *
-distinct_requests (const EndWatch *watch)
+distinct_requests (const CrashWatch *watch)
 {
   GArray *requests = g_array_new (FALSE, FALSE, sizeof (Fingerprint));
 
   for (guint i = 0; i < watch->work->len; i++)
     {
-      const Fingerprints *prints = &g_array_index (watch->work, BrokenWork, i).prints;
+      const Fingerprints *prints = &g_array_index (watch->work, BrokenAttempt, i).prints;
 
       for (guint j = 0; j < prints->count; j++)
         add_distinct (requests, &prints->of[j]);
@@ -121,11 +121,11 @@
 
 /* Handles breaks that were no crash: trials among them were inconclusive. */
 static void
-lives_on (EndWatch *watch)
+report_no_crash (CrashWatch *watch)
 {
   for (guint i = 0; i < watch->work->len; i++)
     {
-      const BrokenWork *work = &g_array_index (watch->work, BrokenWork, i);
+      const BrokenAttempt *work = &g_array_index (watch->work, BrokenAttempt, i);
 
       if (work->trial)
         watch->owner->owner->trial_broken (&work->prints, watch->owner->data);
@@ -134,9 +134,9 @@
 }
 
 static void
-report (const EndWatch *watch)
+report (const CrashWatch *watch)
 {
-  EndWatches *watches = watch->owner;
+  CrashWatches *watches = watch->owner;
   g_autoptr (GArray) requests = distinct_requests (watch);
   g_autofree char *at_work = g_strdup_printf ("%u", watch->work->len);
 
@@ -145,19 +145,19 @@
   log_event (G_LOG_LEVEL_WARNING, "target-ended", "TARGET", watch->target, "SERVICE",
              watch->service, "AT_WORK", at_work, NULL);
   for (guint i = 0; i < watch->work->len; i++)
-    log_work (watch, &g_array_index (watch->work, BrokenWork, i));
+    log_broken_attempt (watch, &g_array_index (watch->work, BrokenAttempt, i));
   watches->owner->ended (watch->service, requests, watches->data);
 }
 
 static void
 on_checked (ConnectAnswer answer, gpointer data)
 {
-  EndWatch *watch = data;
+  CrashWatch *watch = data;
 
   if (answer == CONNECT_REFUSED)
     report (watch);
   else
-    lives_on (watch);
+    report_no_crash (watch);
   g_array_set_size (watch->work, 0);
   loop_timer_start (watch->timer, 0);
 }
@@ -166,17 +166,18 @@
 static void
 on_timer (gpointer data)
 {
-  EndWatch *watch = data;
-  const EndWatches *watches = watch->owner;
+  CrashWatch *watch = data;
+  const CrashWatches *watches = watch->owner;
   const Node *node = watches->node;
 
   g_clear_pointer (&watch->check, connect_check_destroy);
   if (watch->work->len == 0)
     return;
   /* An older request still runs, so the process has not crashed. */
-  if (watches->owner->works_on (watch->target, watch->first_break_us, watches->data))
+  if (watches->owner->has_older_request (watch->target, watch->first_break_us,
+                                         watches->data))
     {
-      lives_on (watch);
+      report_no_crash (watch);
       return;
     }
   watch->checked_us = clock_now (node->clock);
@@ -184,20 +185,20 @@
                                        on_checked, watch);
 }
 
-static EndWatch *
-watch_of (EndWatches *watches, const WatchedTarget *target)
+static CrashWatch *
+watch_of (CrashWatches *watches, const WatchedTarget *target)
 {
-  EndWatch *watch = g_hash_table_lookup (watches->by_target, target->name);
+  CrashWatch *watch = g_hash_table_lookup (watches->by_target, target->name);
 
   if (watch)
     return watch;
-  watch = g_new0 (EndWatch, 1);
+  watch = g_new0 (CrashWatch, 1);
   watch->owner = watches;
   watch->target = g_strdup (target->name);
   watch->service = g_strdup (target->service);
   watch->address = g_strdup (target->address);
-  watch->work = g_array_new (FALSE, FALSE, sizeof (BrokenWork));
-  g_array_set_clear_func (watch->work, clear_work);
+  watch->work = g_array_new (FALSE, FALSE, sizeof (BrokenAttempt));
+  g_array_set_clear_func (watch->work, clear_broken_attempt);
   watch->timer = loop_timer_create (watches->node->loop, on_timer, watch);
   g_hash_table_insert (watches->by_target, watch->target, watch);
   return watch;
@@ -206,7 +207,7 @@
 /* Drops the idle watches of all targets except `but`, so that none stay for targets that
    no longer exist. */
 static void
-drop_idle (EndWatches *watches, const char *but)
+drop_idle_watches (CrashWatches *watches, const char *but)
 {
   GHashTableIter iter;
   gpointer value;
@@ -214,7 +215,7 @@
   g_hash_table_iter_init (&iter, watches->by_target);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const EndWatch *watch = value;
+      const CrashWatch *watch = value;
 
       if (watch->work->len == 0 && !watch->check && !g_str_equal (watch->target, but))
         g_hash_table_iter_remove (&iter);
@@ -222,27 +223,28 @@
 }
 
 static void
-begin_gathering (EndWatch *watch, gint64 now)
+begin_collecting (CrashWatch *watch, gint64 now)
 {
-  gint64 next_check = watch->checked_us > 0 ? watch->checked_us + CHECK_GAP_US : 0;
+  gint64 next_check =
+      watch->checked_us > 0 ? watch->checked_us + CHECK_INTERVAL_MIN_US : 0;
 
   watch->first_break_us = now;
   if (!watch->check)
-    loop_timer_start (watch->timer, MAX (GATHER_US, next_check - now));
+    loop_timer_start (watch->timer, MAX (COLLECT_US, next_check - now));
 }
 
 void
-end_watches_note_break (EndWatches *watches,
-                        const WatchedTarget *target,
-                        const BrokenWork *work)
+crash_watches_note_break (CrashWatches *watches,
+                          const WatchedTarget *target,
+                          const BrokenAttempt *work)
 {
-  EndWatch *watch;
+  CrashWatch *watch;
 
-  drop_idle (watches, target->name);
+  drop_idle_watches (watches, target->name);
   watch = watch_of (watches, target);
   if (watch->work->len == 0)
-    begin_gathering (watch, clock_now (watches->node->clock));
-  if (watch->work->len < WORK_MAX)
+    begin_collecting (watch, clock_now (watches->node->clock));
+  if (watch->work->len < BROKEN_ATTEMPTS_MAX)
     g_array_append_vals (watch->work, work, 1);
   else
     g_free (work->attempt);
--- a/daemon/src/target/end-watch.h
+++ b/daemon/src/target/crash-watch.h
@@ -3,8 +3,8 @@
  * of a crash, because targets in a bad spell break off single requests and keep running.
  * A crash breaks all exchanges at once, and afterwards nothing listens at the address.
  */
-#ifndef DAEMON_END_WATCH_H
-#define DAEMON_END_WATCH_H
+#ifndef DAEMON_CRASH_WATCH_H
+#define DAEMON_CRASH_WATCH_H
 
 #include <core/fingerprint.h>
 
@@ -14,10 +14,10 @@
 typedef struct
 {
   Fingerprints prints;
-  char *attempt;  /* the name used in logs; end_watches_note_break takes ownership */
+  char *attempt;  /* the name used in logs; crash_watches_note_break takes ownership */
   gboolean trial; /* this is a trial of a quarantined request */
   gint64 ran_us;
-} BrokenWork;
+} BrokenAttempt;
 
 /* The target of a broken attempt; texts are copied. */
 typedef struct
@@ -32,23 +32,23 @@
 {
   /* Returns whether a request that was sent to the target before `before_us` still runs
      there. */
-  gboolean (*works_on) (const char *target, gint64 before_us, gpointer data);
+  gboolean (*has_older_request) (const char *target, gint64 before_us, gpointer data);
   /* A target has crashed while it ran these requests: an array of Fingerprint without
      duplicates. */
   void (*ended) (const char *service, const GArray *requests, gpointer data);
   /* A trial was broken off, but the target did not crash. */
   void (*trial_broken) (const Fingerprints *prints, gpointer data);
-} EndWatchOwner;
+} CrashWatchOwner;
 
-typedef struct EndWatches EndWatches;
+typedef struct CrashWatches CrashWatches;
 
 /* `owner` is borrowed. */
-EndWatches *
-end_watches_create (const Node *node, const EndWatchOwner *owner, gpointer data);
-void end_watches_destroy (EndWatches *watches);
+CrashWatches *
+crash_watches_create (const Node *node, const CrashWatchOwner *owner, gpointer data);
+void crash_watches_destroy (CrashWatches *watches);
 
-void end_watches_note_break (EndWatches *watches,
-                             const WatchedTarget *target,
-                             const BrokenWork *work);
+void crash_watches_note_break (CrashWatches *watches,
+                               const WatchedTarget *target,
+                               const BrokenAttempt *work);
 
 #endif
--- a/daemon/src/target/registry.c
+++ b/daemon/src/target/registry.c
@@ -91,7 +91,7 @@
 }
 
 static void
-take_cold (Registry *registry, const char *target, gint64 cold_us)
+apply_cold (Registry *registry, const char *target, gint64 cold_us)
 {
   gboolean cold = cold_us > 0;
 
@@ -103,7 +103,9 @@
 }
 
 static void
-take_state (Registry *registry, TargetStartsResult answer, const Heartbeat *heartbeat)
+apply_registration (Registry *registry,
+                    TargetStartsResult answer,
+                    const Heartbeat *heartbeat)
 {
   /* A target that has announced that it leaves does not return under the same name. */
   if (answer == TARGET_STARTS_CURRENT &&
@@ -123,7 +125,7 @@
 }
 
 static void
-take_heartbeat (Registry *registry, const char *identifier, const Heartbeat *heartbeat)
+apply_heartbeat (Registry *registry, const char *identifier, const Heartbeat *heartbeat)
 {
   g_autofree char *name = target_start_name (identifier, heartbeat->born);
   TargetStartsResult answer =
@@ -131,8 +133,8 @@
 
   if (answer == TARGET_STARTS_STALE)
     return;
-  take_state (registry, answer, heartbeat);
-  take_cold (registry, name, heartbeat->cold_us);
+  apply_registration (registry, answer, heartbeat);
+  apply_cold (registry, name, heartbeat->cold_us);
 }
 
 /* Returns the name of the start that leaves: the one given by "born" in the body or, if
@@ -167,7 +169,7 @@
 }
 
 static void
-take_leave (Registry *registry, const char *name)
+apply_leave (Registry *registry, const char *name)
 {
   target_starts_note_end (registry->starts, name);
   if (g_strcmp0 (target_starts_current (registry->starts), name) != 0 ||
@@ -185,7 +187,7 @@
 
   if (heartbeat_read (http_request_body (request), &heartbeat, faults))
     {
-      take_heartbeat (registry, name, &heartbeat);
+      apply_heartbeat (registry, name, &heartbeat);
       http_request_answer_json (request, HTTP_OK, "{}");
     }
   else
@@ -201,7 +203,7 @@
 /* Returns the name between PATH_PREFIX and `suffix`, or NULL if the path has no valid
    one. The caller frees it. */
 static char *
-name_in (const char *path, const char *suffix)
+target_name_in (const char *path, const char *suffix)
 {
   g_autofree char *name = NULL;
 
@@ -218,8 +220,8 @@
 {
   Registry *registry = data;
   const char *path = http_request_path (request);
-  g_autofree char *alive = name_in (path, HEARTBEAT_SUFFIX);
-  g_autofree char *leaves = name_in (path, LEAVE_SUFFIX);
+  g_autofree char *alive = target_name_in (path, HEARTBEAT_SUFFIX);
+  g_autofree char *leaves = target_name_in (path, LEAVE_SUFFIX);
   g_autofree char *start = NULL;
 
   if (strcmp (http_request_method (request), "POST") != 0 || (!alive && !leaves))
@@ -234,7 +236,7 @@
     }
   start = leaving_start (registry, leaves, http_request_body (request));
   if (start)
-    take_leave (registry, start);
+    apply_leave (registry, start);
   http_request_answer_json (request, start ? HTTP_OK : HTTP_BAD_REQUEST,
                             start ? "{}" : "{\"error\":\"not valid\"}");
 }
@@ -271,7 +273,7 @@
 }
 
 gboolean
-registry_take_news (Registry *registry)
+registry_take_changed (Registry *registry)
 {
   gboolean news = registry && registry->news;
 
--- a/daemon/src/target/registry.h
+++ b/daemon/src/target/registry.h
@@ -26,7 +26,7 @@
 void registry_destroy (Registry *registry);
 
 /* Returns whether the registration has changed since the last call; FALSE for NULL. */
-gboolean registry_take_news (Registry *registry);
+gboolean registry_take_changed (Registry *registry);
 
 /* Returns whether the target has announced that it leaves; FALSE for NULL. */
 gboolean registry_is_leaving (const Registry *registry);
--- a/daemon/src/target/sidecar-budget.c
+++ b/daemon/src/target/sidecar-budget.c
@@ -8,7 +8,7 @@
 typedef struct
 {
   RetryBudget *retries;
-  guint most_targets; /* that the service has had in any configuration seen */
+  guint targets_seen_max; /* that the service has had in any configuration seen */
 } Budget;
 
 struct SidecarBudgets
@@ -66,10 +66,10 @@
 static guint
 burst_share (const SidecarBudgets *budgets, Budget *budget, const Service *service)
 {
-  budget->most_targets = MAX (budget->most_targets, service->targets->len);
-  if (!may_burst (budgets) || budget->most_targets == 0)
+  budget->targets_seen_max = MAX (budget->targets_seen_max, service->targets->len);
+  if (!may_burst (budgets) || budget->targets_seen_max == 0)
     return 0;
-  return service->retry_burst * RETRY_HUNDREDTHS / budget->most_targets;
+  return service->retry_burst * RETRY_HUNDREDTHS / budget->targets_seen_max;
 }
 
 static RetryBudget *
--- a/daemon/src/target/sidecar-calls.c
+++ b/daemon/src/target/sidecar-calls.c
@@ -16,13 +16,13 @@
    reused ticket. Waits until `until_us` for the end of one that has not ended, -1 for no
    time-out. */
 static void
-answer_known (Sidecar *sidecar,
-              RpcConn *conn,
-              guint32 xid,
-              SidecarTarget *target,
-              FenceEntry *entry,
-              const sw_attempt *attempt,
-              gint64 until_us)
+answer_known_attempt (Sidecar *sidecar,
+                      RpcConn *conn,
+                      guint32 xid,
+                      SidecarTarget *target,
+                      FenceEntry *entry,
+                      const sw_attempt *attempt,
+                      gint64 until_us)
 {
   Submission *submission = fence_entry_data (entry);
   sw_submit_res res = { 0 };
@@ -68,7 +68,7 @@
     case FENCE_NEW:
       return TRUE;
     case FENCE_KNOWN:
-      answer_known (sidecar, conn, xid, target, *entry, &args->attempt, -1);
+      answer_known_attempt (sidecar, conn, xid, target, *entry, &args->attempt, -1);
       return FALSE;
     case FENCE_WRONG_INCARNATION:
       sidecar_reply_plain (sidecar, conn, xid, target, &args->attempt, SW_UNKNOWN,
@@ -91,7 +91,7 @@
  * to one trial at a time, made with repeatable requests.
  */
 static gboolean
-is_too_sick_for (SidecarTarget *target, const sw_submit_args *args, gint64 now)
+refuses_while_sick (SidecarTarget *target, const sw_submit_args *args, gint64 now)
 {
   guint failed =
       MIN (detector_failed_trials (target->detector), SIDECAR_TRIAL_DOUBLINGS_MAX);
@@ -107,7 +107,7 @@
 /* Returns whether the attempt takes a slot although none is free. Trials come one at a
    time and must not wait behind hung requests. */
 static gboolean
-is_forced (SidecarTarget *target, const sw_submit_args *args)
+may_force_slot (SidecarTarget *target, const sw_submit_args *args)
 {
   return args->trial && detector_severity (target->detector) > 0 &&
          !admission_is_free (target->admission) && warmup_allows (target->warmup);
@@ -116,10 +116,10 @@
 /* Returns why the attempt is refused, or SW_REASON_NONE. `has_slot` says that a slot is
    held for it. */
 static sw_reason
-refusal_of (Sidecar *sidecar,
-            SidecarTarget *target,
-            const sw_submit_args *args,
-            gboolean has_slot)
+refusal_reason (Sidecar *sidecar,
+                SidecarTarget *target,
+                const sw_submit_args *args,
+                gboolean has_slot)
 {
   if (!target)
     return SW_REASON_NO_TARGET;
@@ -130,12 +130,12 @@
   /* The remaining checks were made when the slot was requested. */
   if (has_slot)
     return SW_REASON_NONE;
-  if (is_too_sick_for (target, args, clock_now (sidecar->node->clock)))
+  if (refuses_while_sick (target, args, clock_now (sidecar->node->clock)))
     return SW_REASON_SICK;
-  if ((!args->may_queue || sidecar->queues_closed) && !is_forced (target, args) &&
+  if ((!args->may_queue || sidecar->queues_closed) && !may_force_slot (target, args) &&
       !admission_is_free (target->admission))
     {
-      sidecar_count_cold (target, sidecar);
+      sidecar_count_cold_refusal (target, sidecar);
       return SW_REASON_OVERLOAD;
     }
   if (args->proved_only &&
@@ -148,10 +148,13 @@
 
 /* Holds a slot for a request that is sent afterwards, or answers why it cannot. */
 static void
-answer_ask (Sidecar *sidecar, RpcConn *conn, guint32 xid, const sw_submit_args *args)
+answer_slot_request (Sidecar *sidecar,
+                     RpcConn *conn,
+                     guint32 xid,
+                     const sw_submit_args *args)
 {
   SidecarTarget *target = g_hash_table_lookup (sidecar->targets, args->target);
-  sw_reason reason = refusal_of (sidecar, target, args, FALSE);
+  sw_reason reason = refusal_reason (sidecar, target, args, FALSE);
   AttemptId id;
 
   fill_attempt (&args->attempt, &id);
@@ -173,7 +176,7 @@
 
   if (args->phase == SW_ASK)
     {
-      answer_ask (sidecar, conn, xid, args);
+      answer_slot_request (sidecar, conn, xid, args);
       return;
     }
   if (!args->repeatable && !pass_fence (sidecar, conn, xid, target, args, &entry))
@@ -181,8 +184,8 @@
   fill_attempt (&args->attempt, &id);
   has_slot = args->phase == SW_HELD_SUBMIT && target &&
              sidecar_holds_take (sidecar->holds, target, &id);
-  reason = refusal_of (sidecar, target, args, has_slot);
-  if (reason == SW_REASON_NONE && !has_slot && is_forced (target, args))
+  reason = refusal_reason (sidecar, target, args, has_slot);
+  if (reason == SW_REASON_NONE && !has_slot && may_force_slot (target, args))
     has_slot = admission_force (target->admission);
   if (reason != SW_REASON_NONE)
     {
@@ -229,7 +232,7 @@
       break;
     case FENCE_RUNNING:
     case FENCE_RAN:
-      answer_known (sidecar, conn, xid, target, entry, &args->attempt, until);
+      answer_known_attempt (sidecar, conn, xid, target, entry, &args->attempt, until);
       break;
     default:
       sidecar_reply_plain (sidecar, conn, xid, target, &args->attempt, SW_UNKNOWN,
@@ -267,9 +270,9 @@
   submission = find_submission (sidecar, &id);
   if (submission && submission->running)
     {
-      submission_note_given_up (submission);
+      submission_note_abandoned (submission);
       if (args->repeatable)
-        submission_break_off (submission, SW_REASON_CANCELLED);
+        submission_abort (submission, SW_REASON_CANCELLED);
       return;
     }
   /* Fences the attempt, so that a message still in transit cannot start it. */
--- a/daemon/src/target/sidecar-private.h
+++ b/daemon/src/target/sidecar-private.h
@@ -10,7 +10,7 @@
 #include <core/latency.h>
 #include <io/http-client.h>
 
-#include "end-watch.h"
+#include "crash-watch.h"
 #include "quarantine-node.h"
 #include "sidecar-budget.h"
 #include "sidecar-holds.h"
@@ -44,7 +44,7 @@
   HttpCall *call; /* NULL unless the attempt runs */
   gboolean running;
   gboolean overdue; /* has already counted as a failure of the target */
-  RequestPrint print;
+  RequestFingerprints print;
   gboolean quarantine_trial; /* this is a trial of a quarantined request */
 } Submission;
 
@@ -57,14 +57,14 @@
   LatencyBook *latencies;
   SidecarBudgets *budgets;
   SidecarHolds *holds;
-  EndWatches *ends;
+  CrashWatches *ends;
   LoopTimer *sweep;
   gboolean queues_closed;
   gboolean draining;
 };
 
 /* Counts a refused request if its target is cold. */
-void sidecar_count_cold (const SidecarTarget *target, const Sidecar *sidecar);
+void sidecar_count_cold_refusal (const SidecarTarget *target, const Sidecar *sidecar);
 
 /* Answers a call without an answer of the target; `target` may be NULL. */
 void sidecar_reply_plain (Sidecar *sidecar,
@@ -93,14 +93,14 @@
 
 /* Refuses the submissions that have waited too long at a target, and starts those that
    get a slot. */
-void submission_start_waiting (SidecarTarget *target);
+void submission_start_queued (SidecarTarget *target);
 
 /* Ends a submission that has not started. */
 void submission_refuse (Submission *submission, sw_reason reason);
 
 /* Aborts a running, repeatable submission. The target notices by the closed connection.
  */
-void submission_break_off (Submission *submission, sw_reason reason);
+void submission_abort (Submission *submission, sw_reason reason);
 
 /* Reports the end of the exchange to the target's detector and to the route's latency
    statistics, and stores the route's latency fit in `res` after a good answer. */
@@ -111,19 +111,19 @@
 
 /* Notes that the result is no longer needed. This counts against the target if the
    attempt is late. */
-void submission_note_given_up (Submission *submission);
+void submission_note_abandoned (Submission *submission);
 
 /* Returns the parts that identify the request when it comes again. Texts are borrowed
    from the submission. */
-FingerprintInput submission_words (const Submission *submission);
+FingerprintInput submission_fingerprint_words (const Submission *submission);
 
 /* Returns the latency distribution of the route: that of the service's other targets if
    it is known, else that of this VM. */
-LatencyFit submission_fit (const Submission *submission);
+LatencyFit submission_latency_fit (const Submission *submission);
 
 /* Called periodically: the first answers waiters whose time is over that the attempt is
    still running, the second counts an overdue attempt against its target. */
-void submission_answer_late_waiters (Submission *submission, gint64 now);
+void submission_expire_waiters (Submission *submission, gint64 now);
 void submission_check_overdue (Submission *submission, gint64 now);
 
 #endif
--- a/daemon/src/target/sidecar-target.h
+++ b/daemon/src/target/sidecar-target.h
@@ -24,12 +24,12 @@
   Detector *detector;
   Shedding *shedding;
   Proof proof;
-  gint64 answered_us;   /* time of the last complete answer; 0 for none */
-  gint64 next_trial_us; /* used while the target is sick */
-  guint32 serial;       /* of the last report of its state */
-  guint told_severity;  /* as last published in gossip, like the next two */
-  gboolean told_leaving;
-  gboolean told_shedding;
+  gint64 answered_us;       /* time of the last complete answer; 0 for none */
+  gint64 next_trial_us;     /* used while the target is sick */
+  guint32 serial;           /* of the last report of its state */
+  guint published_severity; /* as last published in gossip, like the next two */
+  gboolean published_leaving;
+  gboolean published_shedding;
   gboolean present; /* listed in the current configuration */
 } SidecarTarget;
 
--- a/daemon/src/target/sidecar.c
+++ b/daemon/src/target/sidecar.c
@@ -20,7 +20,7 @@
 /* Returns why the requests waiting at a target must be refused now, so that they can go
    elsewhere; SW_REASON_NONE if they may go on waiting. */
 static sw_reason
-reason_to_move (const Sidecar *sidecar, const SidecarTarget *target)
+queue_refusal_reason (const Sidecar *sidecar, const SidecarTarget *target)
 {
   if (sidecar->queues_closed || sidecar_target_is_leaving (target, sidecar->draining))
     return SW_REASON_DRAINING;
@@ -28,7 +28,7 @@
 }
 
 static void
-refuse_waiting (Sidecar *sidecar)
+refuse_queued (Sidecar *sidecar)
 {
   g_autoptr (GPtrArray) waiting = g_ptr_array_new ();
   GHashTableIter iter;
@@ -40,7 +40,7 @@
       const Submission *submission = key;
 
       if (!submission->running &&
-          reason_to_move (sidecar, submission->target) != SW_REASON_NONE)
+          queue_refusal_reason (sidecar, submission->target) != SW_REASON_NONE)
         g_ptr_array_add (waiting, key);
     }
   for (guint i = 0; i < waiting->len; i++)
@@ -48,7 +48,7 @@
       Submission *submission = g_ptr_array_index (waiting, i);
 
       admission_withdraw (submission->target->admission, submission);
-      submission_refuse (submission, reason_to_move (sidecar, submission->target));
+      submission_refuse (submission, queue_refusal_reason (sidecar, submission->target));
     }
 }
 
@@ -67,7 +67,7 @@
     {
       if (!g_hash_table_contains (sidecar->submissions, item->data))
         continue;
-      submission_answer_late_waiters (item->data, now);
+      submission_expire_waiters (item->data, now);
       submission_check_overdue (item->data, now);
     }
   sidecar_holds_expire (sidecar->holds);
@@ -75,14 +75,14 @@
   g_hash_table_iter_init (&iter, sidecar->targets);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      submission_start_waiting (value);
+      submission_start_queued (value);
     }
   verdicts_publish (sidecar->node, sidecar->targets, sidecar->draining);
   loop_timer_start (sidecar->sweep, SWEEP_US);
 }
 
 static gboolean
-works_on (const char *target, gint64 before_us, gpointer data)
+has_older_request (const char *target, gint64 before_us, gpointer data)
 {
   const Sidecar *sidecar = data;
   GHashTableIter iter;
@@ -101,7 +101,7 @@
 }
 
 static void
-on_target_ended (const char *service, const GArray *requests, gpointer data)
+on_target_crashed (const char *service, const GArray *requests, gpointer data)
 {
   const Node *node = ((Sidecar *)data)->node;
 
@@ -115,8 +115,8 @@
   quarantine_node_trial_undecided (((Sidecar *)data)->node->quarantine, prints);
 }
 
-static const EndWatchOwner end_watch_owner = { works_on, on_target_ended,
-                                               on_trial_broken };
+static const CrashWatchOwner crash_watch_owner = { has_older_request, on_target_crashed,
+                                                   on_trial_broken };
 
 Sidecar *
 sidecar_create (Node *node)
@@ -134,7 +134,7 @@
   sidecar->latencies = latency_book_create ();
   sidecar->budgets = sidecar_budgets_create (node);
   sidecar->holds = sidecar_holds_create (node->clock);
-  sidecar->ends = end_watches_create (node, &end_watch_owner, sidecar);
+  sidecar->ends = crash_watches_create (node, &crash_watch_owner, sidecar);
   sidecar->sweep = loop_timer_create (node->loop, on_sweep, sidecar);
   loop_timer_start (sidecar->sweep, SWEEP_US);
   return sidecar;
@@ -158,7 +158,7 @@
     }
   g_hash_table_unref (sidecar->submissions);
   sidecar_holds_destroy (sidecar->holds);
-  end_watches_destroy (sidecar->ends);
+  crash_watches_destroy (sidecar->ends);
   g_hash_table_unref (sidecar->targets);
   latency_book_destroy (sidecar->latencies);
   sidecar_budgets_destroy (sidecar->budgets);
@@ -167,7 +167,7 @@
 }
 
 static void
-take_target (Sidecar *sidecar, const Service *service, const Target *config)
+apply_target (Sidecar *sidecar, const Service *service, const Target *config)
 {
   SidecarTarget *target = g_hash_table_lookup (sidecar->targets, config->name);
 
@@ -199,7 +199,7 @@
           const Target *target = g_ptr_array_index (service->targets, j);
 
           if (strcmp (target->vm, sidecar->node->settings->node) == 0)
-            take_target (sidecar, service, target);
+            apply_target (sidecar, service, target);
         }
     }
   /* A target removed from the configuration is kept while requests run or wait there. */
@@ -212,7 +212,7 @@
           admission_queued (target->admission) == 0)
         g_hash_table_iter_remove (&iter);
     }
-  refuse_waiting (sidecar);
+  refuse_queued (sidecar);
   verdicts_publish (sidecar->node, sidecar->targets, sidecar->draining);
 }
 
@@ -226,7 +226,7 @@
 }
 
 void
-sidecar_count_cold (const SidecarTarget *target, const Sidecar *sidecar)
+sidecar_count_cold_refusal (const SidecarTarget *target, const Sidecar *sidecar)
 {
   if (warmup_is_limiting (target->warmup))
     metrics_add (sidecar->node->metrics, METRIC_COLD_REFUSED, 1);
@@ -241,11 +241,11 @@
          submission->args.retry == RETRY_INHERITED;
 }
 
-CallTerms
-sidecar_call_terms (const Sidecar *sidecar, const char *id)
+SidecarCallContext
+sidecar_call_context (const Sidecar *sidecar, const char *id)
 {
   const Dialect *dialect = sidecar->node->adapter->dialect;
-  CallTerms terms = { FALSE, CONFIG_ACCOUNT_PRIORITIES - 1 };
+  SidecarCallContext terms = { FALSE, CONFIG_ACCOUNT_PRIORITIES - 1 };
   GHashTableIter iter;
   gpointer key;
 
@@ -281,14 +281,14 @@
 sidecar_close_queues (Sidecar *sidecar)
 {
   sidecar->queues_closed = TRUE;
-  refuse_waiting (sidecar);
+  refuse_queued (sidecar);
 }
 
 void
 sidecar_drain (Sidecar *sidecar)
 {
   sidecar->draining = TRUE;
-  refuse_waiting (sidecar);
+  refuse_queued (sidecar);
   verdicts_publish (sidecar->node, sidecar->targets, sidecar->draining);
 }
 
--- a/daemon/src/target/sidecar.h
+++ b/daemon/src/target/sidecar.h
@@ -38,11 +38,11 @@
 {
   gboolean repeat;        /* the request may have been attempted before */
   guint account_priority; /* priority of the request's account; 0 is the highest */
-} CallTerms;
+} SidecarCallContext;
 
 /* Returns what a call made for the running request `id` inherits. If no such request runs
    here, the result is that of a first attempt at the lowest account priority. */
-CallTerms sidecar_call_terms (const Sidecar *sidecar, const char *id);
+SidecarCallContext sidecar_call_context (const Sidecar *sidecar, const char *id);
 
 /* Fills in the states of the targets, SW_STATES_MAX at most. The caller frees the array,
    but not its texts. */
--- a/daemon/src/target/submission-watch.c
+++ b/daemon/src/target/submission-watch.c
@@ -1,7 +1,7 @@
 #include "sidecar-private.h"
 
 LatencyFit
-submission_fit (const Submission *submission)
+submission_latency_fit (const Submission *submission)
 {
   LatencyFit siblings = latency_fit_unpack (submission->args.sibling_fit);
 
@@ -22,7 +22,7 @@
 {
   SidecarTarget *target = submission->target;
   gint64 now = clock_now (submission->sidecar->node->clock);
-  LatencyFit fit = submission_fit (submission);
+  LatencyFit fit = submission_latency_fit (submission);
   DetectorSample sample = { failed, broken, took_us, (guint)latency_fit_mean_us (&fit),
                             submission->args.sibling_failures_ppm };
 
@@ -83,17 +83,17 @@
 submission_check_overdue (Submission *submission, gint64 now)
 {
   gint64 age = now - submission->started_us;
-  LatencyFit fit = submission_fit (submission);
+  LatencyFit fit = submission_latency_fit (submission);
 
   if (submission->running && !submission->overdue && latency_fit_is_overdue (&fit, age))
     note_overdue (submission, age);
 }
 
 void
-submission_note_given_up (Submission *submission)
+submission_note_abandoned (Submission *submission)
 {
   gint64 age = clock_now (submission->sidecar->node->clock) - submission->started_us;
-  LatencyFit fit = submission_fit (submission);
+  LatencyFit fit = submission_latency_fit (submission);
 
   if (!submission->overdue && latency_fit_is_late (&fit, age))
     note_overdue (submission, age);
--- a/daemon/src/target/submission.c
+++ b/daemon/src/target/submission.c
@@ -111,7 +111,7 @@
 }
 
 void
-submission_start_waiting (SidecarTarget *target)
+submission_start_queued (SidecarTarget *target)
 {
   Submission *next;
 
@@ -123,7 +123,7 @@
 
 /* Stores the complete answer in the fence, in case the ingress does not receive it. */
 static void
-record_end (Submission *submission, sw_submit_res *res)
+store_answer (Submission *submission, sw_submit_res *res)
 {
   Sidecar *sidecar = submission->sidecar;
   g_autoptr (GBytes) packed = NULL;
@@ -143,14 +143,14 @@
   const Sidecar *sidecar = submission->sidecar;
   const SidecarTarget *target = submission->target;
   const Node *node = sidecar->node;
-  FingerprintInput words = submission_words (submission);
+  FingerprintInput words = submission_fingerprint_words (submission);
   WatchedTarget where = { target->name, target->service, target->address };
-  BrokenWork work = { .prints = fingerprint_all (node->fingerprints, &words),
-                      .attempt = attempt_id_text (&submission->args.attempt),
-                      .trial = submission->quarantine_trial,
-                      .ran_us = clock_now (node->clock) - submission->started_us };
+  BrokenAttempt work = { .prints = fingerprint_all (node->fingerprints, &words),
+                         .attempt = attempt_id_text (&submission->args.attempt),
+                         .trial = submission->quarantine_trial,
+                         .ran_us = clock_now (node->clock) - submission->started_us };
 
-  end_watches_note_break (sidecar->ends, &where, &work);
+  crash_watches_note_break (sidecar->ends, &where, &work);
 }
 
 /* Reports the end of the exchange to the quarantine. A good answer clears a suspected
@@ -169,7 +169,7 @@
     quarantine_node_trial_undecided (quarantine, &submission->print.prints);
   if (failed || !quarantine_node_watches (quarantine, submission->target->service))
     return;
-  words = submission_words (submission);
+  words = submission_fingerprint_words (submission);
   quarantine_node_note_answer (quarantine, &submission->print, &words);
 }
 
@@ -223,10 +223,10 @@
     metrics_add (sidecar->node->metrics, METRIC_SIDECAR_FAILED, 1);
   note_quarantine (submission, result, failed);
   admission_release (target->admission, failed ? -1 : result->took_us);
-  record_end (submission, &res);
+  store_answer (submission, &res);
   finish (submission, &res);
   g_free (res.answer.headers.headers_val);
-  submission_start_waiting (target);
+  submission_start_queued (target);
 }
 
 static GArray *
@@ -255,7 +255,7 @@
 
   if (!quarantine_node_watches (quarantine, submission->target->service))
     return TRUE;
-  words = submission_words (submission);
+  words = submission_fingerprint_words (submission);
   if (quarantine_node_admits (quarantine, &submission->print, &words,
                               submission->args.trial, &submission->quarantine_trial,
                               &retry_after_us))
@@ -352,14 +352,14 @@
         submission_refuse (displaced, SW_REASON_OVERLOAD);
       break;
     default:
-      sidecar_count_cold (target, submission->sidecar);
+      sidecar_count_cold_refusal (target, submission->sidecar);
       submission_refuse (submission, SW_REASON_OVERLOAD);
       break;
     }
 }
 
 void
-submission_break_off (Submission *submission, sw_reason reason)
+submission_abort (Submission *submission, sw_reason reason)
 {
   SidecarTarget *target = submission->target;
   sw_submit_res res = { .result = SW_FAILED, .reason = reason };
@@ -370,11 +370,11 @@
                                      &submission->print.prints);
   admission_release (target->admission, -1);
   finish (submission, &res);
-  submission_start_waiting (target);
+  submission_start_queued (target);
 }
 
 void
-submission_answer_late_waiters (Submission *submission, gint64 now)
+submission_expire_waiters (Submission *submission, gint64 now)
 {
   for (guint i = submission->waiters->len; i-- > 0;)
     {
--- a/daemon/src/target/verdicts.c
+++ b/daemon/src/target/verdicts.c
@@ -13,25 +13,25 @@
   guint severity = detector_severity (target->detector);
   gboolean shedding = shedding_is_on (target->shedding);
 
-  if ((severity > 0) != (target->told_severity > 0))
+  if ((severity > 0) != (target->published_severity > 0))
     events_add (node->events, severity ? "target-sick" : "target-well", target->name,
                 detector_why (target->detector));
-  if (leaving != target->told_leaving)
+  if (leaving != target->published_leaving)
     events_add (node->events, leaving ? "target-leaving" : "target-serving", target->name,
                 NULL);
-  if (shedding != target->told_shedding)
+  if (shedding != target->published_shedding)
     events_add (node->events, shedding ? "target-sheds" : "target-takes", target->name,
                 NULL);
-  target->told_shedding = shedding;
-  target->told_severity = severity;
-  target->told_leaving = leaving;
+  target->published_shedding = shedding;
+  target->published_severity = severity;
+  target->published_leaving = leaving;
 }
 
 /* Records the changes since the last call. Returns FALSE if there are none. */
 static gboolean
 note_changes (Node *node, GHashTable *targets, gboolean draining)
 {
-  gboolean changed = registry_take_news (node->registry);
+  gboolean changed = registry_take_changed (node->registry);
   GHashTableIter iter;
   gpointer value;
 
@@ -42,8 +42,9 @@
       gboolean leaving = sidecar_target_is_leaving (target, draining);
       guint severity = detector_severity (target->detector);
 
-      if (severity == target->told_severity && leaving == target->told_leaving &&
-          shedding_is_on (target->shedding) == target->told_shedding)
+      if (severity == target->published_severity &&
+          leaving == target->published_leaving &&
+          shedding_is_on (target->shedding) == target->published_shedding)
         continue;
       note_verdict (node, target, leaving);
       changed = TRUE;
@@ -54,11 +55,11 @@
 static sw_verdict
 verdict_on (SidecarTarget *target)
 {
-  sw_verdict verdict = { ++target->serial, target->told_severity, 0 };
+  sw_verdict verdict = { ++target->serial, target->published_severity, 0 };
 
-  if (target->told_leaving)
+  if (target->published_leaving)
     verdict.flags |= SW_VERDICT_DRAINING;
-  if (target->told_shedding)
+  if (target->published_shedding)
     verdict.flags |= SW_VERDICT_SHEDDING;
   if (detector_is_abrupt (target->detector))
     verdict.flags |= SW_VERDICT_ABRUPT;
