--- a/bench/src/bench-accounts.c
+++ b/bench/src/bench-accounts.c
@@ -87,7 +87,7 @@
 
   for (guint i = 0; i < LOOKUPS; i++)
     {
-      guint8 digest[CONFIG_KEY_DIGEST];
+      guint8 digest[CONFIG_KEY_DIGEST_LEN];
       gsize size = sizeof digest;
       char key[32];
 
@@ -95,7 +95,7 @@
       g_checksum_reset (sum);
       g_checksum_update (sum, (const guchar *)key, -1);
       g_checksum_get_digest (sum, digest, &size);
-      found += snapshot_key_account (snapshot, digest) != NULL;
+      found += snapshot_account_by_key (snapshot, digest) != NULL;
     }
   g_checksum_free (sum);
   g_assert (found == LOOKUPS);
--- a/core/include/core/config.h
+++ b/core/include/core/config.h
@@ -14,7 +14,7 @@
 #include <core/json-view.h>
 
 /* Number of shards of the routes. */
-#define CONFIG_SHARDS 64u
+#define CONFIG_ROUTE_SHARDS 64u
 /* Number of shards of the accounts, and of the access keys. There are more of them than
    of routes; with 256 shards a change of one at full size costs no more than one of a
    route. */
@@ -25,7 +25,7 @@
    routes. */
 #define CONFIG_ACCOUNT_PRIORITIES 16u
 /* Length in bytes of an access key's SHA-256 digest. */
-#define CONFIG_KEY_DIGEST 32u
+#define CONFIG_KEY_DIGEST_LEN 32u
 /* Maximum length in bytes of the text of a part that is received compressed. Answers
    of the platform have the same limit; a service of 12,000 targets takes 1.4 MB. */
 #define CONFIG_PART_MAX (2u * 1024 * 1024)
@@ -87,7 +87,7 @@
 /* Route.methods for all methods, including those without a bit of their own. */
 #define ROUTE_METHODS_ANY G_MAXUINT
 /* Default of Service.answer_max in bytes. */
-#define CONFIG_ANSWER_DEFAULT (4 * 1024 * 1024)
+#define CONFIG_ANSWER_MAX_DEFAULT (4 * 1024 * 1024)
 
 typedef struct
 {
@@ -118,7 +118,7 @@
 /* The SHA-256 digest of an access key, and the id of its account. */
 typedef struct
 {
-  guint8 digest[CONFIG_KEY_DIGEST];
+  guint8 digest[CONFIG_KEY_DIGEST_LEN];
   char *account;
 } AccessKey;
 
@@ -136,7 +136,8 @@
    first call compresses it and must not run in two threads at once. */
 GBytes *config_part_packed (ConfigPart *part);
 /* Decompresses and parses a part. Returns NULL and adds faults if it is not valid. */
-ConfigPart *config_part_open (const char *key, GBytes *packed, JsonFaults *faults);
+ConfigPart *
+config_part_parse_packed (const char *key, GBytes *packed, JsonFaults *faults);
 /* Returns the part's service, or NULL for a shard. */
 const Service *config_part_service (const ConfigPart *part);
 /* Each returns the part's routes, accounts or access keys, or NULL if it has none. */
@@ -207,9 +208,9 @@
 /* Returns the account with this id, or NULL. */
 const Account *snapshot_account (const Snapshot *snapshot, const char *id);
 /* Counts the access keys of an account. Scans all keys. */
-guint snapshot_key_count (const Snapshot *snapshot, const char *id);
+guint snapshot_account_key_count (const Snapshot *snapshot, const char *id);
 /* Returns the account of the access key with this digest, or NULL. */
-const Account *snapshot_key_account (const Snapshot *snapshot, const guint8 *digest);
+const Account *snapshot_account_by_key (const Snapshot *snapshot, const guint8 *digest);
 
 void target_free (Target *target);
 
--- a/core/include/core/evacuations.h
+++ b/core/include/core/evacuations.h
@@ -25,10 +25,10 @@
  * EVACUATIONS_MAX halls only the first by name are kept, the same ones on all nodes.
  * Returns whether the set has changed.
  */
-gboolean evacuations_take (Evacuations *evacuations,
-                           guint64 era,
-                           guint64 revision,
-                           const GPtrArray *halls);
+gboolean evacuations_update (Evacuations *evacuations,
+                             guint64 era,
+                             guint64 revision,
+                             const GPtrArray *halls);
 
 gboolean evacuations_has (const Evacuations *evacuations, const char *hall);
 /* Returns the halls (char *) sorted by name; valid until the set is replaced. */
--- a/core/include/core/plan.h
+++ b/core/include/core/plan.h
@@ -11,7 +11,9 @@
 
 /* Returns whether a target is healthy now. Called with names from the running
    configuration and from the plan; must return TRUE for unknown targets. */
-typedef gboolean (*PlanHealthy) (const char *service, const char *target, gpointer data);
+typedef gboolean (*PlanHealthyFunc) (const char *service,
+                                     const char *target,
+                                     gpointer data);
 
 /*
  * Applies the intent, a JSON text, to `base`. Returns NULL and adds faults with their
@@ -21,7 +23,7 @@
 Plan *plan_create (const Snapshot *base,
                    const char *intent,
                    gssize len,
-                   PlanHealthy healthy,
+                   PlanHealthyFunc healthy,
                    gpointer data,
                    JsonFaults *faults);
 void plan_destroy (Plan *plan);
--- a/core/include/core/settings.h
+++ b/core/include/core/settings.h
@@ -62,18 +62,18 @@
   gboolean first_start; /* the whole fleet is starting for the first time */
   char **peers;         /* NULL-terminated addresses of other nodes */
   char *fleet_token;
-  guint64 fleet_seal;   /* 64 bits of the token's digest, for short messages */
-  GPtrArray *operators; /* of OperatorAccount */
+  guint64 fleet_token_digest; /* 64 bits of the token's digest, for short messages */
+  GPtrArray *operators;       /* of OperatorAccount */
   guint connections_max;
   gsize header_max;
   gsize body_max;
-  gsize held_max;   /* bytes buffered for all callers' requests together */
-  gint64 stall_us;  /* timeout for callers that read nothing of an answer */
-  gint64 read_us;   /* timeout for reading a whole request */
-  gint64 idle_us;   /* timeout for connections without a request */
-  gint64 stop_us;   /* longest duration of a planned stop */
-  gint64 yield_us;  /* time after which it may cut running requests; <= stop_us */
-  gint64 linger_us; /* time after SIGTERM in which callers are still served */
+  gsize held_max;      /* bytes buffered for all callers' requests together */
+  gint64 stall_us;     /* timeout for callers that read nothing of an answer */
+  gint64 read_us;      /* timeout for reading a whole request */
+  gint64 idle_us;      /* timeout for connections without a request */
+  gint64 stop_us;      /* longest duration of a planned stop */
+  gint64 cut_after_us; /* time after which it may cut running requests; <= stop_us */
+  gint64 linger_us;    /* time after SIGTERM in which callers are still served */
   gint64 fence_window_us;
   guint fence_entries_max;
   gsize fence_answers_max;
--- a/core/src/config/account.c
+++ b/core/src/config/account.c
@@ -5,7 +5,7 @@
 #include <core/json-write.h>
 #include <core/names.h>
 
-#define DIGEST_HEX (2 * CONFIG_KEY_DIGEST)
+#define DIGEST_HEX (2 * CONFIG_KEY_DIGEST_LEN)
 #define DIGEST_BASE64 44u
 #define HEX_DIGITS "0123456789abcdef"
 /* Limit of rate and burst, more than a fleet of 1,200 VMs can serve. */
@@ -87,7 +87,7 @@
   if (strspn (hex, HEX_DIGITS) < DIGEST_HEX)
     return NULL;
   key = g_new0 (AccessKey, 1);
-  for (guint i = 0; i < CONFIG_KEY_DIGEST; i++)
+  for (guint i = 0; i < CONFIG_KEY_DIGEST_LEN; i++)
     key->digest[i] = (guint8)(g_ascii_xdigit_value (hex[2 * i]) << 4 |
                               g_ascii_xdigit_value (hex[2 * i + 1]));
   key->account = g_ref_string_new_intern (account);
@@ -104,11 +104,11 @@
   gsize len = 0;
 
   digest = g_base64_decode (code, &len);
-  if (len == CONFIG_KEY_DIGEST && strlen (text) > DIGEST_BASE64 &&
+  if (len == CONFIG_KEY_DIGEST_LEN && strlen (text) > DIGEST_BASE64 &&
       text[DIGEST_BASE64] == ' ' && names_valid (text + DIGEST_BASE64 + 1))
     {
       key = g_new0 (AccessKey, 1);
-      memcpy (key->digest, digest, CONFIG_KEY_DIGEST);
+      memcpy (key->digest, digest, CONFIG_KEY_DIGEST_LEN);
       key->account = g_ref_string_new_intern (text + DIGEST_BASE64 + 1);
     }
   if (!key)
@@ -128,7 +128,7 @@
 void
 access_key_write (const AccessKey *key, GString *text)
 {
-  g_autofree char *code = g_base64_encode (key->digest, CONFIG_KEY_DIGEST);
+  g_autofree char *code = g_base64_encode (key->digest, CONFIG_KEY_DIGEST_LEN);
   g_autofree char *words = g_strconcat (code, " ", key->account, NULL);
 
   json_put_text (text, words);
@@ -138,7 +138,7 @@
 compare_keys (gconstpointer a, gconstpointer b)
 {
   return memcmp ((*(AccessKey *const *)a)->digest, (*(AccessKey *const *)b)->digest,
-                 CONFIG_KEY_DIGEST);
+                 CONFIG_KEY_DIGEST_LEN);
 }
 
 void
@@ -150,7 +150,7 @@
 /* Estimates the index of a digest from its first four bytes. SHA-256 digests are evenly
    distributed, so the error is about the square root of the number of keys. */
 static guint
-guess (const GPtrArray *keys, const guint8 *digest)
+estimate_index (const GPtrArray *keys, const guint8 *digest)
 {
   guint64 first = (guint64)digest[0] << 24 | (guint64)digest[1] << 16 |
                   (guint64)digest[2] << 8 | digest[3];
@@ -159,10 +159,10 @@
 }
 
 static int
-order_at (const GPtrArray *keys, guint place, const guint8 *digest)
+compare_key_at (const GPtrArray *keys, guint place, const guint8 *digest)
 {
   return memcmp (((AccessKey *)g_ptr_array_index (keys, place))->digest, digest,
-                 CONFIG_KEY_DIGEST);
+                 CONFIG_KEY_DIGEST_LEN);
 }
 
 /* Interpolation search: widens a range around the estimated index, in steps that double,
@@ -170,18 +170,19 @@
 gint
 access_keys_find (const GPtrArray *keys, const guint8 *digest)
 {
-  guint low = keys->len > 0 ? guess (keys, digest) : 0;
+  guint low = keys->len > 0 ? estimate_index (keys, digest) : 0;
   guint high = low;
 
-  for (guint step = 4; low > 0 && order_at (keys, low, digest) > 0; step *= 2)
+  for (guint step = 4; low > 0 && compare_key_at (keys, low, digest) > 0; step *= 2)
     low -= MIN (step, low);
-  for (guint step = 4; high < keys->len && order_at (keys, high, digest) < 0; step *= 2)
+  for (guint step = 4; high < keys->len && compare_key_at (keys, high, digest) < 0;
+       step *= 2)
     high += MIN (step, keys->len - high);
   high = MIN (high + 1, keys->len);
   while (low < high)
     {
       guint middle = low + (high - low) / 2;
-      int order = order_at (keys, middle, digest);
+      int order = compare_key_at (keys, middle, digest);
 
       if (order == 0)
         return (gint)middle;
--- a/core/src/config/draft.c
+++ b/core/src/config/draft.c
@@ -31,7 +31,7 @@
 
 /* Returns the shard with that key, which is added if needed. Takes ownership of `key`. */
 static GPtrArray *
-shard_of (ConfigDraft *draft, char *key)
+ensure_shard (ConfigDraft *draft, char *key)
 {
   GPtrArray *shard = g_hash_table_lookup (draft->shards, key);
 
@@ -55,7 +55,7 @@
 config_draft_add_route (ConfigDraft *draft, const Route *route)
 {
   Route *copy = route_copy (route);
-  GPtrArray *shard = shard_of (draft, config_route_shard (copy->host, copy->prefix));
+  GPtrArray *shard = ensure_shard (draft, config_route_shard (copy->host, copy->prefix));
 
   for (guint i = shard->len; i-- > 0;)
     if (route_compare (g_ptr_array_index (shard, i), copy->host, copy->prefix) == 0)
@@ -66,7 +66,7 @@
 void
 config_draft_add_account (ConfigDraft *draft, const Account *account)
 {
-  g_ptr_array_add (shard_of (draft, config_account_shard (account->id)),
+  g_ptr_array_add (ensure_shard (draft, config_account_shard (account->id)),
                    account_copy (account));
 }
 
@@ -76,7 +76,7 @@
   AccessKey *key = access_key_create (hex, account);
 
   if (key)
-    g_ptr_array_add (shard_of (draft, config_key_shard (key->digest)), key);
+    g_ptr_array_add (ensure_shard (draft, config_key_shard (key->digest)), key);
 }
 
 GPtrArray *
@@ -90,12 +90,12 @@
   g_ptr_array_set_free_func (draft->services, NULL);
   for (guint i = 0; i < draft->services->len; i++)
     g_ptr_array_add (parts,
-                     config_part_of_service (g_ptr_array_index (draft->services, i)));
+                     config_part_from_service (g_ptr_array_index (draft->services, i)));
   g_ptr_array_set_size (draft->services, 0);
   g_ptr_array_set_free_func (draft->services, (GDestroyNotify)service_free);
   g_hash_table_iter_init (&iter, draft->shards);
   while (g_hash_table_iter_next (&iter, &key, &shard))
-    g_ptr_array_add (parts, config_part_of_shard (key, g_ptr_array_ref (shard)));
+    g_ptr_array_add (parts, config_part_from_shard (key, g_ptr_array_ref (shard)));
   g_hash_table_remove_all (draft->shards);
   return parts;
 }
--- a/core/src/config/evacuations.c
+++ b/core/src/config/evacuations.c
@@ -73,10 +73,10 @@
 }
 
 gboolean
-evacuations_take (Evacuations *evacuations,
-                  guint64 era,
-                  guint64 revision,
-                  const GPtrArray *halls)
+evacuations_update (Evacuations *evacuations,
+                    guint64 era,
+                    guint64 revision,
+                    const GPtrArray *halls)
 {
   GPtrArray *taken;
   gboolean changed;
--- a/core/src/config/head.c
+++ b/core/src/config/head.c
@@ -5,7 +5,7 @@
 
 /* An operator whose confirmation got no answer repeats it within minutes, and it is then
    recognised by the plan's id. 150 plans cover 15 minutes at ten plans a minute. */
-#define PLANS_KEPT 150u
+#define PLAN_IDS_MAX 150u
 #define PLAN_ID_MAX 64
 #define DIGEST_MAX 64
 
@@ -110,7 +110,7 @@
 config_head_add_plan (ConfigHead *head, const char *id)
 {
   g_ptr_array_add (head->plans, g_strdup (id));
-  if (head->plans->len > PLANS_KEPT)
+  if (head->plans->len > PLAN_IDS_MAX)
     g_ptr_array_remove_index (head->plans, 0);
 }
 
--- a/core/src/config/intent-accounts.c
+++ b/core/src/config/intent-accounts.c
@@ -5,7 +5,7 @@
 #include <core/names.h>
 
 /* After this many scans for a single account's keys, all keys are indexed by account. */
-#define LOOKED_FOR_MAX 64u
+#define KEY_SCANS_MAX 64u
 
 static gboolean
 remove_account (GPtrArray *shard, const char *id)
@@ -20,13 +20,13 @@
 }
 
 static void
-note_holding (Intent *intent, const AccessKey *key)
+index_key (Intent *intent, const AccessKey *key)
 {
   GArray *digests = g_hash_table_lookup (intent->holdings, key->account);
 
   if (!digests)
     {
-      digests = g_array_new (FALSE, FALSE, CONFIG_KEY_DIGEST);
+      digests = g_array_new (FALSE, FALSE, CONFIG_KEY_DIGEST_LEN);
       g_hash_table_insert (intent->holdings, key->account, digests);
     }
   g_array_append_val (digests, key->digest);
@@ -37,7 +37,7 @@
  * if `account` is NULL. The scan covers every shard, because keys are sharded by digest.
  */
 static void
-note_holdings (Intent *intent, const char *account)
+index_keys (Intent *intent, const char *account)
 {
   for (guint i = 0; i < CONFIG_ACCOUNT_SHARDS; i++)
     {
@@ -50,7 +50,7 @@
 
           /* Account ids are interned, so equal ids have the same address. */
           if (!account || key->account == account)
-            note_holding (intent, key);
+            index_key (intent, key);
         }
     }
 }
@@ -58,10 +58,10 @@
 /*
  * Returns the digests of an account's keys in the base, or NULL if it has none. A scan of
  * 88,000 keys takes 1 ms and indexing all of them takes 150 ms, so the index is built
- * only after LOOKED_FOR_MAX scans.
+ * only after KEY_SCANS_MAX scans.
  */
 static const GArray *
-held_by (Intent *intent, const char *account)
+find_account_keys (Intent *intent, const char *account)
 {
   GRefString *interned;
   const GArray *digests;
@@ -69,28 +69,29 @@
   if (!intent->holdings)
     intent->holdings = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
                                               (GDestroyNotify)g_array_unref);
-  if (!intent->all_held && intent->looked_for++ >= LOOKED_FOR_MAX)
+  if (!intent->all_keys_indexed && intent->key_scans++ >= KEY_SCANS_MAX)
     {
       g_hash_table_remove_all (intent->holdings);
-      note_holdings (intent, NULL);
-      intent->all_held = TRUE;
+      index_keys (intent, NULL);
+      intent->all_keys_indexed = TRUE;
     }
   interned = g_ref_string_new_intern (account);
-  if (!intent->all_held && !g_hash_table_contains (intent->holdings, account))
-    note_holdings (intent, interned);
+  if (!intent->all_keys_indexed && !g_hash_table_contains (intent->holdings, account))
+    index_keys (intent, interned);
   digests = g_hash_table_lookup (intent->holdings, account);
   g_ref_string_release (interned);
   return digests;
 }
 
 static void
-remove_keys_of (Intent *intent, const char *account)
+remove_account_keys (Intent *intent, const char *account)
 {
-  const GArray *digests = held_by (intent, account);
+  const GArray *digests = find_account_keys (intent, account);
 
   for (guint i = 0; digests && i < digests->len; i++)
     {
-      const guint8 *digest = (const guint8 *)digests->data + (gsize)i * CONFIG_KEY_DIGEST;
+      const guint8 *digest =
+          (const guint8 *)digests->data + (gsize)i * CONFIG_KEY_DIGEST_LEN;
       g_autofree char *name = config_key_shard (digest);
       GPtrArray *shard = intent_shard (intent, intent->keys, name);
 
@@ -98,7 +99,7 @@
         {
           const AccessKey *key = g_ptr_array_index (shard, j);
 
-          if (memcmp (key->digest, digest, CONFIG_KEY_DIGEST) == 0 &&
+          if (memcmp (key->digest, digest, CONFIG_KEY_DIGEST_LEN) == 0 &&
               strcmp (key->account, account) == 0)
             g_ptr_array_remove_index (shard, j);
         }
@@ -129,11 +130,11 @@
   guint count = json_view_array_length (item, "keys_sha256");
 
   if (snapshot_account (intent->base, account))
-    remove_keys_of (intent, account);
+    remove_account_keys (intent, account);
   for (guint i = 0; i < count; i++)
     {
       const char *hex =
-          json_view_array_string (item, "keys_sha256", i, 2 * CONFIG_KEY_DIGEST);
+          json_view_array_string (item, "keys_sha256", i, 2 * CONFIG_KEY_DIGEST_LEN);
 
       if (hex)
         add_key (intent, hex, account, json_view_path (item));
@@ -163,7 +164,7 @@
   g_autofree char *key = config_account_shard (id);
 
   if (remove_account (intent_shard (intent, intent->accounts, key), id))
-    remove_keys_of (intent, id);
+    remove_account_keys (intent, id);
   else
     json_faults_add (intent->faults, "$.remove_accounts", "no account named \"%s\"", id);
 }
--- a/core/src/config/intent-private.h
+++ b/core/src/config/intent-private.h
@@ -13,13 +13,13 @@
   const Snapshot *base;
   JsonFaults *faults;
   JsonView *view;
-  GHashTable *services; /* name → Service, changed or added; NULL if removed */
-  GHashTable *routes;   /* shard key → GPtrArray of Route, copied from the base */
-  GHashTable *accounts; /* shard key → GPtrArray of Account */
-  GHashTable *keys;     /* shard key → GPtrArray of AccessKey */
-  GHashTable *holdings; /* account id → GArray of its key digests in the base */
-  gboolean all_held;    /* `holdings` covers all accounts of the base */
-  guint looked_for;     /* scans of the base for the keys of one account */
+  GHashTable *services;      /* name → Service, changed or added; NULL if removed */
+  GHashTable *routes;        /* shard key → GPtrArray of Route, copied from the base */
+  GHashTable *accounts;      /* shard key → GPtrArray of Account */
+  GHashTable *keys;          /* shard key → GPtrArray of AccessKey */
+  GHashTable *holdings;      /* account id → GArray of its key digests in the base */
+  gboolean all_keys_indexed; /* `holdings` covers all accounts of the base */
+  guint key_scans;           /* scans of the base for the keys of one account */
 } Intent;
 
 /*
--- a/core/src/config/intent.c
+++ b/core/src/config/intent.c
@@ -59,7 +59,7 @@
 /* Returns a modifiable copy of the service that has the target, owned by the intent; NULL
    if no service has it. */
 static Service *
-service_of_target (Intent *intent, const char *target)
+copy_service_of_target (Intent *intent, const char *target)
 {
   const GPtrArray *services = snapshot_services (intent->base);
   GHashTableIter iter;
@@ -85,14 +85,14 @@
 }
 
 static void
-apply_state (Intent *intent, const char *key, TargetState state)
+apply_target_states (Intent *intent, const char *key, TargetState state)
 {
   guint count = json_view_array_length (intent->view, key);
 
   for (guint i = 0; i < count; i++)
     {
       const char *name = json_view_array_string (intent->view, key, i, NAME_MAX_LEN);
-      Service *service = name ? service_of_target (intent, name) : NULL;
+      Service *service = name ? copy_service_of_target (intent, name) : NULL;
       g_autofree char *path = g_strdup_printf ("$.%s[%u]", key, i);
 
       if (!service)
@@ -107,7 +107,7 @@
 
 /* Sets the state of all targets of a data hall in the base. Returns their number. */
 static guint
-set_hall (Intent *intent, const char *hall, TargetState state)
+set_hall_state (Intent *intent, const char *hall, TargetState state)
 {
   const GPtrArray *services = snapshot_services (intent->base);
   guint count = 0;
@@ -120,7 +120,7 @@
         {
           const Target *target = g_ptr_array_index (service->targets, j);
           Service *copy = strcmp (target->hall, hall) == 0
-                              ? service_of_target (intent, target->name)
+                              ? copy_service_of_target (intent, target->name)
                               : NULL;
 
           if (!copy)
@@ -133,7 +133,7 @@
 }
 
 static void
-apply_halls (Intent *intent, const char *key, TargetState state)
+apply_hall_states (Intent *intent, const char *key, TargetState state)
 {
   guint count = json_view_array_length (intent->view, key);
 
@@ -142,13 +142,13 @@
       const char *hall = json_view_array_string (intent->view, key, i, NAME_MAX_LEN);
       g_autofree char *path = g_strdup_printf ("$.%s[%u]", key, i);
 
-      if (hall && set_hall (intent, hall, state) == 0)
+      if (hall && set_hall_state (intent, hall, state) == 0)
         json_faults_add (intent->faults, path, "no target is in data hall \"%s\"", hall);
     }
 }
 
 static const GPtrArray *
-things_of (const ConfigPart *part)
+shard_contents (const ConfigPart *part)
 {
   if (config_part_routes (part))
     return config_part_routes (part);
@@ -174,7 +174,7 @@
   copy = config_part_parse (key, config_part_text (part), intent->faults);
   if (!copy)
     return shard;
-  from = things_of (copy);
+  from = shard_contents (copy);
   for (guint i = 0; i < from->len; i++)
     g_ptr_array_add (shard, g_ptr_array_index (from, i));
   g_ptr_array_set_free_func ((GPtrArray *)from, NULL);
@@ -203,10 +203,11 @@
 check_route_service (Intent *intent, const Route *route, const char *path)
 {
   gpointer changed;
-  gboolean touched =
+  gboolean in_intent =
       g_hash_table_lookup_extended (intent->services, route->service, NULL, &changed);
 
-  if (touched ? changed != NULL : snapshot_service (intent->base, route->service) != NULL)
+  if (in_intent ? changed != NULL
+                : snapshot_service (intent->base, route->service) != NULL)
     return;
   json_faults_add (intent->faults, path, "route \"%s%s\" names unknown service \"%s\"",
                    route->host, route->prefix, route->service);
@@ -304,7 +305,7 @@
 static void
 check_removed_services (Intent *intent)
 {
-  for (guint i = 0; i < CONFIG_SHARDS; i++)
+  for (guint i = 0; i < CONFIG_ROUTE_SHARDS; i++)
     {
       g_autofree char *key = g_strdup_printf ("routes/%02x", i);
       ConfigPart *part = snapshot_part (intent->base, key);
@@ -372,10 +373,10 @@
   intent.keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                        (GDestroyNotify)g_ptr_array_unref);
   apply_services (&intent);
-  apply_halls (&intent, "evacuate", TARGET_LEAVING);
-  apply_halls (&intent, "take_back", TARGET_SERVING);
-  apply_state (&intent, "drain", TARGET_LEAVING);
-  apply_state (&intent, "restore", TARGET_SERVING);
+  apply_hall_states (&intent, "evacuate", TARGET_LEAVING);
+  apply_hall_states (&intent, "take_back", TARGET_SERVING);
+  apply_target_states (&intent, "drain", TARGET_LEAVING);
+  apply_target_states (&intent, "restore", TARGET_SERVING);
   apply_removed_routes (&intent);
   apply_routes (&intent);
   intent_apply_accounts (&intent);
--- a/core/src/config/model.h
+++ b/core/src/config/model.h
@@ -10,7 +10,7 @@
 
 /* Maximum length in bytes of an access key in a part: "DIGEST ACCOUNT", with the digest
    in base64. Base64 is shorter than the hexadecimal digits that are counted here. */
-#define ACCESS_KEY_TEXT_MAX (2 * CONFIG_KEY_DIGEST + 1 + NAME_MAX_LEN)
+#define ACCESS_KEY_TEXT_MAX (2 * CONFIG_KEY_DIGEST_LEN + 1 + NAME_MAX_LEN)
 
 /* Each adds faults for an invalid view. The result is never NULL, but may be incomplete
    if faults were added; the caller owns it. */
@@ -33,7 +33,7 @@
 void access_key_free (AccessKey *key);
 
 /* Returns the index of the shard that holds an access key. */
-guint config_key_shard_place (const guint8 *digest);
+guint config_key_shard_index (const guint8 *digest);
 
 /* Sort a shard: lookups search it by bisection, and equal contents must give equal texts
    and digests. */
@@ -63,8 +63,8 @@
 
 /* Create a part from a valid service or from valid contents of a shard, without checks.
    The part takes ownership of its argument. */
-ConfigPart *config_part_of_service (Service *service);
-ConfigPart *config_part_of_shard (const char *key, GPtrArray *things);
+ConfigPart *config_part_from_service (Service *service);
+ConfigPart *config_part_from_shard (const char *key, GPtrArray *things);
 
 /* Compares a route with (host, prefix), by host and then by prefix, as strcmp does. */
 int route_compare (const Route *route, const char *host, const char *prefix);
--- a/core/src/config/part.c
+++ b/core/src/config/part.c
@@ -22,7 +22,7 @@
 {
   g_autofree char *key = route_key (host, prefix);
 
-  return g_strdup_printf ("routes/%02x", g_str_hash (key) % CONFIG_SHARDS);
+  return g_strdup_printf ("routes/%02x", g_str_hash (key) % CONFIG_ROUTE_SHARDS);
 }
 
 char *
@@ -34,15 +34,15 @@
 /* Shards are selected by the last byte, because access_keys_find interpolates by the
    first four. */
 guint
-config_key_shard_place (const guint8 *digest)
+config_key_shard_index (const guint8 *digest)
 {
-  return digest[CONFIG_KEY_DIGEST - 1] % CONFIG_ACCOUNT_SHARDS;
+  return digest[CONFIG_KEY_DIGEST_LEN - 1] % CONFIG_ACCOUNT_SHARDS;
 }
 
 char *
 config_key_shard (const guint8 *digest)
 {
-  return g_strdup_printf ("keys/%02x", config_key_shard_place (digest));
+  return g_strdup_printf ("keys/%02x", config_key_shard_index (digest));
 }
 
 static void
@@ -83,7 +83,7 @@
       const AccessKey *before = g_ptr_array_index (keys, i - 1);
       const AccessKey *key = g_ptr_array_index (keys, i);
 
-      if (memcmp (before->digest, key->digest, CONFIG_KEY_DIGEST) == 0)
+      if (memcmp (before->digest, key->digest, CONFIG_KEY_DIGEST_LEN) == 0)
         json_faults_add (faults, "$.keys",
                          "accounts \"%s\" and \"%s\" have the same access key",
                          before->account, key->account);
@@ -192,7 +192,7 @@
 
 /* Creates a part without parsed contents. Takes ownership of `text`. */
 static ConfigPart *
-part_of_text (const char *key, char *text)
+part_create_from_text (const char *key, char *text)
 {
   ConfigPart *part = g_new0 (ConfigPart, 1);
 
@@ -204,22 +204,22 @@
 }
 
 ConfigPart *
-config_part_of_service (Service *service)
+config_part_from_service (Service *service)
 {
   g_autofree char *key = g_strconcat ("service/", service->name, NULL);
   JsonBuilder *builder = json_builder_new ();
   ConfigPart *part;
 
   service_write (service, builder);
-  part = part_of_text (key, json_text (builder));
+  part = part_create_from_text (key, json_text (builder));
   part->service = service;
   return part;
 }
 
 ConfigPart *
-config_part_of_shard (const char *key, GPtrArray *things)
+config_part_from_shard (const char *key, GPtrArray *things)
 {
-  ConfigPart *part = part_of_text (key, shard_text (key, things));
+  ConfigPart *part = part_create_from_text (key, shard_text (key, things));
 
   if (g_str_has_prefix (key, "routes/"))
     part->routes = things;
@@ -280,7 +280,7 @@
 }
 
 ConfigPart *
-config_part_open (const char *key, GBytes *packed, JsonFaults *faults)
+config_part_parse_packed (const char *key, GBytes *packed, JsonFaults *faults)
 {
   g_autoptr (GBytes) text = pack_open (packed, CONFIG_PART_MAX);
   ConfigPart *part;
--- a/core/src/config/plan.c
+++ b/core/src/config/plan.c
@@ -34,7 +34,7 @@
 }
 
 static guint
-healthy_slots (const Service *service, PlanHealthy healthy, gpointer data)
+healthy_slots (const Service *service, PlanHealthyFunc healthy, gpointer data)
 {
   guint slots = 0;
 
@@ -56,11 +56,11 @@
  * as a loss of capacity.
  */
 static void
-weigh_service (Plan *plan,
-               const Snapshot *base,
-               const Service *after,
-               PlanHealthy healthy,
-               gpointer data)
+add_service_capacity (Plan *plan,
+                      const Snapshot *base,
+                      const Service *after,
+                      PlanHealthyFunc healthy,
+                      gpointer data)
 {
   const Service *before = snapshot_service (base, after->name);
   Capacity capacity = { .service = g_strdup (after->name), .floor = after->floor_slots };
@@ -146,7 +146,7 @@
 }
 
 static const Account *
-account_in (const ConfigPart *part, const char *id)
+find_account_in_part (const ConfigPart *part, const char *id)
 {
   const GPtrArray *accounts = part ? config_part_accounts (part) : NULL;
 
@@ -169,7 +169,7 @@
   for (guint i = 0; before && i < accounts->len; i++)
     {
       const Account *account = g_ptr_array_index (accounts, i);
-      const Account *old = account_in (before, account->id);
+      const Account *old = find_account_in_part (before, account->id);
 
       if (!old)
         continue;
@@ -200,7 +200,7 @@
 }
 
 static char *
-make_id (const Plan *plan)
+compute_plan_id (const Plan *plan)
 {
   GChecksum *sum = g_checksum_new (G_CHECKSUM_SHA256);
   g_autofree char *base =
@@ -224,7 +224,7 @@
 }
 
 static ConfigHead *
-next_head (const Snapshot *base)
+create_next_head (const Snapshot *base)
 {
   const ConfigHead *old = snapshot_head (base);
   ConfigHead *head = config_head_create (old->generation + 1);
@@ -241,13 +241,13 @@
 }
 
 static void
-take_part (Plan *plan,
-           const Snapshot *base,
-           const char *key,
-           const char *text,
-           PlanHealthy healthy,
-           gpointer data,
-           JsonFaults *faults)
+add_part (Plan *plan,
+          const Snapshot *base,
+          const char *key,
+          const char *text,
+          PlanHealthyFunc healthy,
+          gpointer data,
+          JsonFaults *faults)
 {
   g_autoptr (GBytes) bytes = g_bytes_new (text, strlen (text));
   ConfigPart *part = config_part_parse (key, bytes, faults);
@@ -271,14 +271,14 @@
       return;
     }
   describe_service (plan, base, service);
-  weigh_service (plan, base, service, healthy, data);
+  add_service_capacity (plan, base, service, healthy, data);
 }
 
 Plan *
 plan_create (const Snapshot *base,
              const char *intent,
              gssize len,
-             PlanHealthy healthy,
+             PlanHealthyFunc healthy,
              gpointer data,
              JsonFaults *faults)
 {
@@ -292,7 +292,7 @@
   plan = g_new0 (Plan, 1);
   plan->base_generation = snapshot_generation (base);
   plan->parts = g_ptr_array_new_with_free_func ((GDestroyNotify)config_part_unref);
-  plan->head = next_head (base);
+  plan->head = create_next_head (base);
   plan->changes = g_ptr_array_new_with_free_func (g_free);
   plan->capacities = g_array_new (FALSE, FALSE, sizeof (Capacity));
   g_array_set_clear_func (plan->capacities, clear_capacity);
@@ -303,11 +303,11 @@
       const char *text = g_hash_table_lookup (texts, l->data);
 
       if (*text)
-        take_part (plan, base, l->data, text, healthy, data, faults);
+        add_part (plan, base, l->data, text, healthy, data, faults);
       else if (g_hash_table_remove (plan->head->parts, l->data))
         note_change (plan, "removes %s", (const char *)l->data);
     }
-  plan->id = make_id (plan);
+  plan->id = compute_plan_id (plan);
   config_head_add_plan (plan->head, plan->id);
   if (json_faults_count (faults) == before)
     return plan;
--- a/core/src/config/route.c
+++ b/core/src/config/route.c
@@ -73,7 +73,7 @@
 }
 
 static gboolean
-all_safe (guint methods)
+methods_are_safe (guint methods)
 {
   guint safe = 0;
 
@@ -155,7 +155,8 @@
   route->methods = read_methods (view);
   route->priority = (guint)json_view_int (view, "priority", 0, CONFIG_PRIORITIES - 1, 1);
   /* Without "repeatable", a route is repeatable only if all its methods are safe. */
-  route->repeatable = json_view_bool (view, "repeatable", all_safe (route->methods));
+  route->repeatable =
+      json_view_bool (view, "repeatable", methods_are_safe (route->methods));
   route->account = json_view_bool (view, "account", FALSE);
   route->deadline_us = 1000 * json_view_int (view, "deadline_ms", DEADLINE_MIN_MS,
                                              CONFIG_DEADLINE_MAX_MS, DEADLINE_DEFAULT_MS);
--- a/core/src/config/service.c
+++ b/core/src/config/service.c
@@ -7,7 +7,7 @@
 
 #define SLOTS_MAX 100000
 #define ANSWER_MAX (8 * 1024 * 1024)
-#define RETRY_DEFAULT 20
+#define RETRY_PERCENT_DEFAULT 20
 /* Limit of cold_per_s and cold_burst, more than any target gets, cold or not. */
 #define COLD_PER_S_MAX 1e6
 
@@ -16,7 +16,7 @@
 static const char *const state_names[] = { "serving", "leaving", NULL };
 /* By TargetState. TARGET_EVACUATED is never written: it follows from the state of the
    data hall and is not part of the configuration. */
-static const char *const written_states[] = { "serving", "leaving", "serving" };
+static const char *const written_state_names[] = { "serving", "leaving", "serving" };
 
 void
 target_free (Target *target)
@@ -95,7 +95,7 @@
 }
 
 static guint
-all_slots (const Service *service)
+total_slots (const Service *service)
 {
   guint slots = 0;
 
@@ -117,7 +117,7 @@
       json_view_choice (view, "detection", detection_names, DETECTION_CAREFUL);
   service->queue = (guint)json_view_int (view, "queue", 0, SLOTS_MAX, 0);
   service->retry_percent =
-      (guint)json_view_int (view, "retry_percent", 0, 100, RETRY_DEFAULT);
+      (guint)json_view_int (view, "retry_percent", 0, 100, RETRY_PERCENT_DEFAULT);
   service->retry_burst = (guint)json_view_int (view, "retry_burst", 0, G_MAXINT, 0);
   service->cold_per_s = json_view_double (view, "cold_per_s", 0, COLD_PER_S_MAX, 0);
   service->cold_burst = json_view_double (view, "cold_burst", 0, COLD_PER_S_MAX, 0);
@@ -125,15 +125,15 @@
   service->dynamic = json_view_bool (view, "dynamic", FALSE);
   service->floor_percent = (guint)json_view_int (view, "floor_percent", 0, 100, 0);
   service->answer_max =
-      (gsize)json_view_int (view, "answer_max", 1, ANSWER_MAX, CONFIG_ANSWER_DEFAULT);
+      (gsize)json_view_int (view, "answer_max", 1, ANSWER_MAX, CONFIG_ANSWER_MAX_DEFAULT);
   read_targets (service, view);
   if (service->dynamic && service->targets->len > 0)
     json_faults_add (json_view_faults (view), json_view_path (view),
                      "a dynamic service must not list targets");
-  if (service->floor_slots > all_slots (service))
+  if (service->floor_slots > total_slots (service))
     json_faults_add (json_view_faults (view), json_view_path (view),
                      "the floor of %u slots is over the capacity of %u slots",
-                     service->floor_slots, all_slots (service));
+                     service->floor_slots, total_slots (service));
   return service;
 }
 
@@ -172,7 +172,7 @@
   json_write_string (builder, "address", target->address);
   json_write_int (builder, "slots", target->slots);
   json_write_int (builder, "connections", target->connections);
-  json_write_string (builder, "state", written_states[target->state]);
+  json_write_string (builder, "state", written_state_names[target->state]);
   json_builder_end_object (builder);
 }
 
--- a/core/src/config/settings.c
+++ b/core/src/config/settings.c
@@ -19,7 +19,7 @@
 #define STOP_MARGIN_MIN_US 300000
 #define STOP_MARGIN_MAX_US 700000
 /* Running requests may be cut in the last sixth of the grace period, but not earlier. */
-#define STOP_YIELD_PARTS 6
+#define STOP_CUT_DIVISOR 6
 #define GRACE_MAX_S 3600.0
 /* Window over which retries are counted, as users define it, and the longest allowed. */
 #define RETRY_WINDOW_DEFAULT_S 10.0
@@ -149,8 +149,8 @@
 
   settings->linger_us = 1000 * json_view_int (limits, "linger_ms", 0, 3600000, 0);
   settings->stop_us = grace_us > 0 ? grace_us - stop_margin_us (grace_us) : stop_us;
-  settings->yield_us =
-      grace_us > 0 ? MIN (settings->stop_us, grace_us - grace_us / STOP_YIELD_PARTS)
+  settings->cut_after_us =
+      grace_us > 0 ? MIN (settings->stop_us, grace_us - grace_us / STOP_CUT_DIVISOR)
                    : stop_us;
   /* Requests accepted at the end of the linger period need time to be answered. */
   settings->linger_us = MIN (settings->linger_us, settings->stop_us / 2);
@@ -250,7 +250,7 @@
 /* Returns the first 64 bits of the token's SHA-256 digest. They are as hard to find by
    trial as a random token of 8 bytes. */
 static guint64
-seal_of (const char *token)
+token_digest_prefix (const char *token)
 {
   g_autofree char *digest = g_compute_checksum_for_string (G_CHECKSUM_SHA256, token, -1);
 
@@ -285,7 +285,7 @@
   read_allowance (settings, view);
   settings->platform_address = g_strdup (names_required_address (view, "platform"));
   settings->fleet_token = read_token (view, "fleet_token");
-  settings->fleet_seal = seal_of (settings->fleet_token);
+  settings->fleet_token_digest = token_digest_prefix (settings->fleet_token);
   settings->log = json_view_choice (view, "log", log_names, LOG_INFO);
   read_peers (settings, view);
   read_operators (settings, view);
--- a/core/src/config/shard.c
+++ b/core/src/config/shard.c
@@ -42,7 +42,7 @@
 };
 
 static const ShardKind *
-kind_of (const char *key)
+find_shard_kind (const char *key)
 {
   gsize len = strcspn (key, "/");
 
@@ -55,7 +55,7 @@
 GDestroyNotify
 shard_free_func (const char *key)
 {
-  const ShardKind *kind = kind_of (key);
+  const ShardKind *kind = find_shard_kind (key);
 
   return kind ? kind->free : NULL;
 }
@@ -63,7 +63,7 @@
 char *
 shard_text (const char *key, GPtrArray *things)
 {
-  const ShardKind *kind = kind_of (key);
+  const ShardKind *kind = find_shard_kind (key);
   GString *text = g_string_new ("{");
 
   kind->sort (things);
--- a/core/src/config/snapshot.c
+++ b/core/src/config/snapshot.c
@@ -10,7 +10,7 @@
   GHashTable *by_digest; /* digest → ConfigPart, borrowed */
   GPtrArray *services;   /* of Service, by name; borrowed from parts and `composed` */
   GHashTable *composed;  /* name → Service, owned: copies with their own target lists */
-  ConfigPart *route_parts[CONFIG_SHARDS];
+  ConfigPart *route_parts[CONFIG_ROUTE_SHARDS];
   ConfigPart *account_parts[CONFIG_ACCOUNT_SHARDS];
   ConfigPart *key_parts[CONFIG_ACCOUNT_SHARDS];
 };
@@ -38,14 +38,14 @@
 }
 
 static guint
-shard_of_key (const char *key)
+shard_index_of_key (const char *key)
 {
   return (guint)g_ascii_strtoull (strchr (key, '/') + 1, NULL, 16) %
          CONFIG_ACCOUNT_SHARDS;
 }
 
 static void
-take_part (Snapshot *snapshot, ConfigPart *part)
+add_part (Snapshot *snapshot, ConfigPart *part)
 {
   const char *key = config_part_key (part);
 
@@ -54,11 +54,11 @@
   if (config_part_service (part))
     g_ptr_array_add (snapshot->services, (Service *)config_part_service (part));
   else if (config_part_routes (part))
-    snapshot->route_parts[shard_of_key (key) % CONFIG_SHARDS] = part;
+    snapshot->route_parts[shard_index_of_key (key) % CONFIG_ROUTE_SHARDS] = part;
   else if (config_part_keys (part))
-    snapshot->key_parts[shard_of_key (key)] = part;
+    snapshot->key_parts[shard_index_of_key (key)] = part;
   else
-    snapshot->account_parts[shard_of_key (key)] = part;
+    snapshot->account_parts[shard_index_of_key (key)] = part;
 }
 
 Snapshot *
@@ -127,7 +127,7 @@
   snapshot->head = copy_head (base->head);
   g_hash_table_iter_init (&iter, base->by_key);
   while (g_hash_table_iter_next (&iter, NULL, &part))
-    take_part (snapshot, part);
+    add_part (snapshot, part);
   g_ptr_array_sort (snapshot->services, compare_services);
   for (guint i = 0; i < snapshot->services->len; i++)
     compose_service (snapshot, i, targets, evacuations);
@@ -153,7 +153,7 @@
           snapshot_unref (snapshot);
           return NULL;
         }
-      take_part (snapshot, part);
+      add_part (snapshot, part);
     }
   g_ptr_array_sort (snapshot->services, compare_services);
   return snapshot;
@@ -227,7 +227,7 @@
 {
   guint count = 0;
 
-  for (guint i = 0; i < CONFIG_SHARDS; i++)
+  for (guint i = 0; i < CONFIG_ROUTE_SHARDS; i++)
     if (snapshot->route_parts[i])
       count += config_part_routes (snapshot->route_parts[i])->len;
   return count;
@@ -276,7 +276,8 @@
 find_exact (const Snapshot *snapshot, const char *host, const char *prefix, guint method)
 {
   g_autofree char *key = config_route_shard (host, prefix);
-  const ConfigPart *part = snapshot->route_parts[shard_of_key (key) % CONFIG_SHARDS];
+  const ConfigPart *part =
+      snapshot->route_parts[shard_index_of_key (key) % CONFIG_ROUTE_SHARDS];
   const GPtrArray *routes;
 
   if (!part)
@@ -356,9 +357,9 @@
 }
 
 const Account *
-snapshot_key_account (const Snapshot *snapshot, const guint8 *digest)
+snapshot_account_by_key (const Snapshot *snapshot, const guint8 *digest)
 {
-  const ConfigPart *part = snapshot->key_parts[config_key_shard_place (digest)];
+  const ConfigPart *part = snapshot->key_parts[config_key_shard_index (digest)];
   const GPtrArray *keys = part ? config_part_keys (part) : NULL;
   gint place = keys ? access_keys_find (keys, digest) : -1;
 
@@ -369,7 +370,7 @@
 }
 
 guint
-snapshot_key_count (const Snapshot *snapshot, const char *id)
+snapshot_account_key_count (const Snapshot *snapshot, const char *id)
 {
   guint count = 0;
 
--- a/core/tests/test-evacuations.c
+++ b/core/tests/test-evacuations.c
@@ -15,7 +15,7 @@
   for (guint i = 0; names[i]; i++)
     if (*names[i])
       g_ptr_array_add (array, names[i]);
-  return evacuations_take (evacuations, era, revision, array);
+  return evacuations_update (evacuations, era, revision, array);
 }
 
 static void
@@ -85,7 +85,7 @@
 
   for (guint i = EVACUATIONS_MAX + 4; i-- > 0;)
     g_ptr_array_add (halls, g_strdup_printf ("hall-%02u", i));
-  assert_true (evacuations_take (evacuations, 0, 1, halls));
+  assert_true (evacuations_update (evacuations, 0, 1, halls));
   assert_int_equal (evacuations_halls (evacuations)->len, EVACUATIONS_MAX);
   assert_true (evacuations_has (evacuations, "hall-00"));
   assert_false (evacuations_has (evacuations, "hall-19"));
--- a/core/tests/test-pack.c
+++ b/core/tests/test-pack.c
@@ -39,7 +39,7 @@
   JsonFaults *faults = json_faults_create ();
   ConfigPart *part = config_part_parse ("routes/00", text, faults);
   GBytes *packed = config_part_packed (part);
-  ConfigPart *opened = config_part_open ("routes/00", packed, faults);
+  ConfigPart *opened = config_part_parse_packed ("routes/00", packed, faults);
 
   assert_true (5 * g_bytes_get_size (packed) <= g_bytes_get_size (text));
   assert_non_null (opened);
@@ -59,9 +59,9 @@
       g_bytes_new_from_bytes (packed, 0, g_bytes_get_size (packed) / 2);
   JsonFaults *faults = json_faults_create ();
 
-  assert_null (config_part_open ("routes/00", text, faults));
+  assert_null (config_part_parse_packed ("routes/00", text, faults));
   assert_int_equal (json_faults_count (faults), 1);
-  assert_null (config_part_open ("routes/00", cut, faults));
+  assert_null (config_part_parse_packed ("routes/00", cut, faults));
   assert_int_equal (json_faults_count (faults), 2);
   json_faults_destroy (faults);
 }
@@ -107,7 +107,7 @@
   ConfigPart *opened;
 
   assert_non_null (part);
-  opened = config_part_open ("service/pay", config_part_packed (part), faults);
+  opened = config_part_parse_packed ("service/pay", config_part_packed (part), faults);
   print_message ("%" G_GSIZE_FORMAT " bytes, %" G_GSIZE_FORMAT " packed\n",
                  g_bytes_get_size (text), g_bytes_get_size (config_part_packed (part)));
   assert_non_null (opened);
--- a/core/tests/test-settings.c
+++ b/core/tests/test-settings.c
@@ -104,9 +104,9 @@
       Settings *settings = parse ("", limits, faults);
       gint64 sixth_us = (gint64)(graces_s[i] * 1e6 * 5 / 6);
 
-      assert_true (settings->yield_us <= settings->stop_us);
-      assert_true (settings->yield_us >= MIN (sixth_us, settings->stop_us));
-      assert_true (settings->yield_us <= sixth_us + 1);
+      assert_true (settings->cut_after_us <= settings->stop_us);
+      assert_true (settings->cut_after_us >= MIN (sixth_us, settings->stop_us));
+      assert_true (settings->cut_after_us <= sixth_us + 1);
       settings_destroy (settings);
     }
   json_faults_destroy (faults);
--- a/daemon/src/account/credentials.c
+++ b/daemon/src/account/credentials.c
@@ -27,10 +27,10 @@
 }
 
 static void
-digest_key (const char *key, gsize len, guint8 digest[CONFIG_KEY_DIGEST])
+digest_key (const char *key, gsize len, guint8 digest[CONFIG_KEY_DIGEST_LEN])
 {
   GChecksum *sum = g_checksum_new (G_CHECKSUM_SHA256);
-  gsize size = CONFIG_KEY_DIGEST;
+  gsize size = CONFIG_KEY_DIGEST_LEN;
 
   g_checksum_update (sum, (const guchar *)key, (gssize)len);
   g_checksum_get_digest (sum, digest, &size);
@@ -38,7 +38,7 @@
 }
 
 Credentials
-credentials_read (const GArray *headers, guint8 digest[CONFIG_KEY_DIGEST])
+credentials_read (const GArray *headers, guint8 digest[CONFIG_KEY_DIGEST_LEN])
 {
   const char *value = NULL;
   const char *key;
--- a/daemon/src/account/credentials.h
+++ b/daemon/src/account/credentials.h
@@ -17,6 +17,7 @@
 } Credentials;
 
 /* Reads them from an array of HttpHeader; fills `digest` for CREDENTIALS_KEY. */
-Credentials credentials_read (const GArray *headers, guint8 digest[CONFIG_KEY_DIGEST]);
+Credentials credentials_read (const GArray *headers,
+                              guint8 digest[CONFIG_KEY_DIGEST_LEN]);
 
 #endif
--- a/daemon/src/account/identity.c
+++ b/daemon/src/account/identity.c
@@ -43,7 +43,7 @@
   identity.credentials =
       credentials_read (http_request_headers (request), identity.digest);
   if (identity.credentials == CREDENTIALS_KEY)
-    identity.account = snapshot_key_account (snapshot, identity.digest);
+    identity.account = snapshot_account_by_key (snapshot, identity.digest);
   identity.status = status_of (&identity, route, tenant);
   return identity;
 }
--- a/daemon/src/account/identity.h
+++ b/daemon/src/account/identity.h
@@ -16,7 +16,7 @@
   gboolean identified; /* the key has been looked at, and is no matter of the target's */
   guint status;        /* what the caller is refused with; 0 when it is not */
   Credentials credentials;
-  guint8 digest[CONFIG_KEY_DIGEST]; /* of CREDENTIALS_KEY */
+  guint8 digest[CONFIG_KEY_DIGEST_LEN]; /* of CREDENTIALS_KEY */
 } Identity;
 
 /* Finds out for a request on `route`, whose service is of `tenant`. */
--- a/daemon/src/config/config-fetch.c
+++ b/daemon/src/config/config-fetch.c
@@ -82,7 +82,7 @@
   Fetch *fetch = job;
 
   fetch->part = fetch->packed
-                    ? config_part_open (fetch->key, fetch->bytes, fetch->faults)
+                    ? config_part_parse_packed (fetch->key, fetch->bytes, fetch->faults)
                     : config_part_parse (fetch->key, fetch->bytes, fetch->faults);
 }
 
--- a/daemon/src/config/config-halls.c
+++ b/daemon/src/config/config-halls.c
@@ -36,7 +36,7 @@
   g_autoptr (GPtrArray) before =
       g_ptr_array_ref ((GPtrArray *)evacuations_halls (sync->evacuations));
 
-  if (!evacuations_take (sync->evacuations, era, revision, halls))
+  if (!evacuations_update (sync->evacuations, era, revision, halls))
     return;
   note_halls (sync, "hall-evacuated", evacuations_halls (sync->evacuations), before);
   note_halls (sync, "hall-taken-back", before, evacuations_halls (sync->evacuations));
--- a/daemon/src/member/gossip-send.c
+++ b/daemon/src/member/gossip-send.c
@@ -11,7 +11,7 @@
 {
   Node *node = gossip->node;
 
-  message->seal = node->settings->fleet_seal;
+  message->seal = node->settings->fleet_token_digest;
   message->from = node->settings->node;
   message->generation = snapshot_generation (config_sync_snapshot (node->config));
   message->digest = members_digest (node->members);
--- a/daemon/src/member/gossip.c
+++ b/daemon/src/member/gossip.c
@@ -97,7 +97,7 @@
 
   xdrmem_create (&xdr, (char *)data, (u_int)len, XDR_DECODE);
   if (wire_call_decode (&xdr, &call) && xdr_sw_gossip (&xdr, &message) &&
-      message.seal == gossip->node->settings->fleet_seal)
+      message.seal == gossip->node->settings->fleet_token_digest)
     {
       take_message (gossip, &message);
       if (call.procedure == SW_PROBE_VIA)
@@ -127,7 +127,7 @@
 
   if (wire_reply_decode (data, len, (xdrproc_t)xdr_sw_gossip, &message) ==
           WIRE_REPLY_OK &&
-      message.seal == gossip->node->settings->fleet_seal)
+      message.seal == gossip->node->settings->fleet_token_digest)
     {
       take_message (gossip, &message);
       relay = g_hash_table_lookup (gossip->relays, GUINT_TO_POINTER (xid));
--- a/daemon/src/node/node.c
+++ b/daemon/src/node/node.c
@@ -99,7 +99,7 @@
 may_yield (const NodeRun *run)
 {
   return !run->yielded && !run->left_before && registry_is_leaving (run->node.registry) &&
-         stop_age (run) >= run->node.settings->yield_us;
+         stop_age (run) >= run->node.settings->cut_after_us;
 }
 
 static void
@@ -113,7 +113,7 @@
 static gint64
 next_check_us (const NodeRun *run)
 {
-  gint64 until_yield = run->node.settings->yield_us - stop_age (run);
+  gint64 until_yield = run->node.settings->cut_after_us - stop_age (run);
 
   return until_yield > 0 ? MIN (until_yield, STOP_CHECK_US) : STOP_CHECK_US;
 }
--- a/daemon/src/operator/status.c
+++ b/daemon/src/operator/status.c
@@ -185,7 +185,7 @@
   if (keys)
     json_write_int (
         builder, "keys",
-        snapshot_key_count (config_sync_snapshot (node->config), account->id));
+        snapshot_account_key_count (config_sync_snapshot (node->config), account->id));
   account_stats_write (node->account_stats, account->id, builder);
   json_builder_end_object (builder);
 }
--- a/daemon/tests/test-credentials.c
+++ b/daemon/tests/test-credentials.c
@@ -14,7 +14,7 @@
 #define LONG_KEY (8 * 1024)
 
 static Credentials
-read_one (const char *name, const char *value, guint8 digest[CONFIG_KEY_DIGEST])
+read_one (const char *name, const char *value, guint8 digest[CONFIG_KEY_DIGEST_LEN])
 {
   g_autoptr (GArray) headers = http_headers_new ();
 
@@ -28,8 +28,8 @@
 {
   static const char *const good[] = { "Bearer " KEY, "bearer " KEY, "BEARER   " KEY,
                                       "Bearer " KEY "  " };
-  guint8 expected[CONFIG_KEY_DIGEST];
-  guint8 digest[CONFIG_KEY_DIGEST];
+  guint8 expected[CONFIG_KEY_DIGEST_LEN];
+  guint8 digest[CONFIG_KEY_DIGEST_LEN];
   gsize size = sizeof expected;
   GChecksum *sum = g_checksum_new (G_CHECKSUM_SHA256);
 
@@ -50,7 +50,7 @@
     "",           "Bearer", "Bearer ",     "Bearer    ",   "Bearer\t" KEY,
     "Basic " KEY, KEY,      "Bearer:" KEY, "Bearers " KEY,
   };
-  guint8 digest[CONFIG_KEY_DIGEST];
+  guint8 digest[CONFIG_KEY_DIGEST_LEN];
 
   for (gsize i = 0; i < G_N_ELEMENTS (bad); i++)
     assert_int_equal (read_one ("Authorization", bad[i], digest), CREDENTIALS_BAD);
@@ -63,7 +63,7 @@
 test_a_key_that_is_too_long_is_not_digested (void **state)
 {
   g_autoptr (GString) value = g_string_new ("Bearer ");
-  guint8 digest[CONFIG_KEY_DIGEST];
+  guint8 digest[CONFIG_KEY_DIGEST_LEN];
 
   for (guint i = 0; i < LONG_KEY; i++)
     g_string_append_c (value, 'k');
@@ -74,7 +74,7 @@
 test_two_keys_are_none (void **state)
 {
   g_autoptr (GArray) headers = http_headers_new ();
-  guint8 digest[CONFIG_KEY_DIGEST];
+  guint8 digest[CONFIG_KEY_DIGEST_LEN];
 
   http_headers_add (headers, "Authorization", "Bearer " KEY);
   http_headers_add (headers, "AUTHORIZATION", "Bearer " KEY);
@@ -84,8 +84,8 @@
 static void
 test_bytes_that_are_no_text_are_a_key_like_another (void **state)
 {
-  guint8 one[CONFIG_KEY_DIGEST];
-  guint8 other[CONFIG_KEY_DIGEST];
+  guint8 one[CONFIG_KEY_DIGEST_LEN];
+  guint8 other[CONFIG_KEY_DIGEST_LEN];
 
   assert_int_equal (read_one ("Authorization", "Bearer \x01\x7f\xff", one),
                     CREDENTIALS_KEY);
