--- a/daemon/src/member/calls.c
+++ b/daemon/src/member/calls.c
@@ -8,7 +8,8 @@
 #include "rumour.h"
 #include "sidecar.h"
 
-/* Whether a caller's own words name a member that is there, or one that is new. */
+/* Merges a caller's entry into the membership, and returns whether the member is alive in
+   that incarnation. */
 static gboolean
 is_member (Node *node, const sw_rumour *from)
 {
@@ -19,7 +20,7 @@
   return member && member->incarnation == from->incarnation && members_is_alive (member);
 }
 
-/* Answers a call, and counts the bytes of the answer. */
+/* Sends the reply to a call and counts its bytes. */
 static void
 reply (Node *node,
        RpcConn *conn,
--- a/daemon/src/member/fleet-list.c
+++ b/daemon/src/member/fleet-list.c
@@ -39,7 +39,7 @@
   g_free (list);
 }
 
-/* Names and halls are lent out while the list is read anew, and stay what they are. */
+/* Keeps the name and hall of a listed node, because callers borrow them. */
 void
 fleet_list_add (FleetList *list, const char *node, const char *hall, const char *address)
 {
--- a/daemon/src/member/gossip-news.c
+++ b/daemon/src/member/gossip-news.c
@@ -7,7 +7,7 @@
 #include "log.h"
 #include "rumour.h"
 
-/* Two messages a second each way, both full of news, stay under 3 KB/s for control. */
+/* With this bound two full messages a second each way stay under 3 KB/s for control. */
 #define NEWS_BYTES_MAX 550u
 
 void
@@ -50,7 +50,7 @@
   return any;
 }
 
-/* The target that registered itself at a member; a member that has gone has none. */
+/* Applies the registration of a member's target; a member that is gone has none. */
 static void
 take_registration (Node *node, const Member *member, const sw_member_payload *payload)
 {
@@ -69,7 +69,7 @@
   config_sync_set_registration (node->config, member->node, member->hall, &registration);
 }
 
-/* Verdicts that a member leaves out are good ones. */
+/* Applies a member's verdicts on its targets. Targets without a verdict are healthy. */
 static void
 take_verdicts (Node *node, const Member *member, const sw_member_payload *payload)
 {
--- a/daemon/src/member/gossip-private.h
+++ b/daemon/src/member/gossip-private.h
@@ -1,7 +1,7 @@
 /*
- * What the files of gossip share: gossip.c the protocol, gossip-send.c its datagrams on
- * their way out, gossip-news.c what rumours say and what they bring about,
- * gossip-repair.c the comparison of views.
+ * Shared by the files of gossip: gossip.c runs the protocol, gossip-send.c sends its
+ * datagrams, gossip-news.c writes and applies membership news, and gossip-repair.c
+ * compares views.
  */
 #ifndef DAEMON_GOSSIP_PRIVATE_H
 #define DAEMON_GOSSIP_PRIVATE_H
@@ -15,15 +15,15 @@
   Node *node;
   Datagram *datagram;
   LoopTimer *timer;
-  LoopTimer *retell;      /* news from another hall is told on in this one */
-  LoopTimer *spread;      /* news of the quarantine is told on by everybody */
-  gboolean spread_urgent; /* what that timer waits for */
+  LoopTimer *retell;      /* forwards news from other halls in this one */
+  LoopTimer *spread;      /* sends the quarantine's news */
+  gboolean spread_urgent; /* the timer runs for urgent news */
   GHashTable *relays;     /* xid → Relay */
   guint32 relay_sequence;
 };
 
-/* Sends a call, or an answer to one, with this node's news for `to` (NULL for nobody
-   known) on it. */
+/* Send a call or a reply that carries this node's news for `to`, NULL for an unknown
+   receiver. */
 void gossip_send_call (Gossip *gossip,
                        const char *address,
                        const char *to,
@@ -32,17 +32,20 @@
                        guint32 xid);
 void gossip_send_reply (Gossip *gossip, const char *address, const char *to, guint32 xid);
 
-/* Puts this node's news for `to` (NULL for nobody known) on a message. */
+/* Fills a message's rumours and briefs for `to`, NULL for an unknown receiver. They
+   borrow their data from the membership; gossip_drop_news frees the arrays. */
 void gossip_put_news (Node *node, const char *to, sw_gossip *message);
 void gossip_drop_news (sw_gossip *message);
 
-/* Takes a message's news in; TRUE when there was any. */
+/* Merges a message's rumours and briefs. Returns TRUE if any of them was new. */
 gboolean gossip_take_news (Node *node, const sw_gossip *message);
 
-/* What the membership tells of a change of `member`; `data` is the node. */
+/* Passes a change of `member` on to the balancer, the configuration sync and the
+   allowances; `data` is the Node. */
 void gossip_on_changed (const Member *member, gpointer data);
 
-/* Compares the views bucket by bucket with a member whose digest keeps differing. */
+/* Compares the views bucket by bucket with member `from` if its `digest` differs from
+   this node's and a comparison is due. */
 void gossip_repair (Gossip *gossip, const char *from, guint64 digest);
 
 #endif
--- a/daemon/src/member/gossip-repair.c
+++ b/daemon/src/member/gossip-repair.c
@@ -4,7 +4,8 @@
 #include "rumour.h"
 
 #define REPAIR_TIMEOUT_US (5 * SECOND_US)
-/* A comparison of views that waits for its session. */
+
+/* A comparison of views that waits for a session. */
 typedef struct
 {
   Gossip *gossip;
@@ -26,7 +27,7 @@
     rumour_merge (gossip->node->members, &res->rumours.rumours_val[i]);
 }
 
-/* Compares the views with a node that a session has been opened with. */
+/* Sends the digests of this node's buckets once the session has been opened. */
 static void
 ask_view (const PeerStamp *stamp, gpointer data)
 {
--- a/daemon/src/member/gossip-send.c
+++ b/daemon/src/member/gossip-send.c
@@ -5,7 +5,7 @@
 #include "platform-era.h"
 #include "quarantine-node.h"
 
-/* A message with this node's news on it, which drop_filled drops. */
+/* Fills a message with this node's news; drop_filled frees what this allocates. */
 static void
 fill_gossip (Gossip *gossip, const char *to, sw_gossip *message)
 {
@@ -31,7 +31,7 @@
   config_sync_drop_evacuations (&message->evacuations);
 }
 
-/* Counts a message's bytes: its news, and the rest. */
+/* Counts the bytes of a sent message: its news as rumours, the rest as probes. */
 static void
 count_sent (Gossip *gossip, const char *to, const sw_gossip *message, gsize bytes)
 {
--- a/daemon/src/member/gossip.c
+++ b/daemon/src/member/gossip.c
@@ -7,38 +7,43 @@
 #include "platform-era.h"
 #include "quarantine-node.h"
 
-/* News of this node is told to so many of its hall at once, and to one of so many other
-   halls, where it is told on to as many. */
+/* A push goes to NEAR_FANOUT members of the own hall and to one member of each of
+   FAR_FANOUT other halls, which forwards news to NEAR_FANOUT members of its hall. */
 #define NEAR_FANOUT 3u
 #define FAR_FANOUT 3u
-/* A node that has found others makes itself known to so many of its hall, and of other
-   halls: they tell of it, and views are compared. To all, it would be each to each when a
-   fleet starts. */
+/* A node that has discovered others probes JOIN_NEAR nodes of its hall and JOIN_FAR of
+   other halls. They spread its entry, and views are compared. If it probed all of them,
+   a fleet's start would take a quadratic number of messages. */
 #define JOIN_NEAR 6u
 #define JOIN_FAR 2u
-/* News of several changes that comes from other halls at once is told on once. */
+/* Delay after which news from other halls is forwarded, so that several messages that
+   arrive together are forwarded once. */
 #define RETELL_US (10 * MS_US)
-/* What is found out of requests that end targets concerns every node at once: each that
-   hears of it tells so many of its hall and of as many others. All of 1,200 nodes hold a
-   request back 0.6 s after it has ended a third target, 0.3 s of it to let it settle, in
-   the simulated fleet; two home nodes of each request that count and tell all are no
-   faster, and nobody is told where both have gone (bench-quarantine). */
+/* News of requests that crash targets concerns all nodes at once: each node that receives
+   it sends it to SPREAD_NEAR members of its hall and to one member of each of SPREAD_FAR
+   other halls. In the simulated fleet all 1,200 nodes hold a request back 0.6 s after it
+   has crashed a third target, 0.3 s of which is settling time. An alternative, in which
+   two home nodes of each request count crashes and notify all others, is no faster and
+   fails if both are gone (bench-quarantine). */
 #define SPREAD_NEAR 3u
 #define SPREAD_FAR 1u
-/* For the first time so long after it has come, together with what comes meanwhile; and
-   again after so long, while there is any left to be told: four messages of 0.4 KB each
-   time. What is not urgent stays within the 3 KB/s that a node may send for control. */
+/* The quarantine's news is sent after SPREAD_FIRST_US, together with what has arrived
+   meanwhile, and then at an interval as long as sends remain: four messages of 0.4 KB
+   each time. SPREAD_AGAIN_US keeps news that is not urgent within the 3 KB/s that a node
+   may send for control. */
 #define SPREAD_FIRST_US (10 * MS_US)
 #define SPREAD_URGENT_US (100 * MS_US)
 #define SPREAD_AGAIN_US (600 * MS_US)
-/* Numbers of probes made for others; the membership's own are below. */
+/* The lowest sequence number of relayed probes, joins and news; the numbers of the
+   membership's own probes are below it. */
 #define RELAY_SEQUENCES 0x80000000u
 #define RELAY_LIFE_US (2 * SECOND_US)
-/* A probe carried for another node. */
+
+/* A probe sent on behalf of another node. */
 typedef struct
 {
   char *to;
-  char *subject; /* the node that is probed */
+  char *subject; /* the probed node */
   guint32 xid;
   gint64 until_us;
 } Relay;
@@ -109,7 +114,8 @@
   xdr_destroy (&xdr);
 }
 
-/* The answer to a probe that was carried for another node. */
+/* Handles the answer of node `from` to a relayed probe: forwards it to the node that
+   asked for the probe, unless another node than the probed one has answered. */
 static void
 take_relayed (Gossip *gossip, const Relay *relay, const char *from)
 {
@@ -192,8 +198,8 @@
                     members_next_tick_us (node->members) - clock_now (node->clock));
 }
 
-/* A few live members other than self, in an order at random: up to `near` of this hall,
-   and one of each of up to `far` others. */
+/* Returns live members other than self in random order: up to `near` of this hall, and
+   one of each of up to `far` other halls. */
 static GPtrArray *
 some_members (const Gossip *gossip, guint near, guint far)
 {
@@ -265,7 +271,7 @@
   QuarantineUrgency urgency = quarantine_node_urgency (gossip->node->quarantine);
   gboolean waits = loop_timer_is_started (gossip->spread);
 
-  /* What is urgent does not wait behind what is not. */
+  /* Urgent news does not wait for a timer that was started for other news. */
   if (urgency == QUARANTINE_NEWS_NONE ||
       (waits && (urgency != QUARANTINE_NEWS_URGENT || gossip->spread_urgent)))
     return;
@@ -308,7 +314,7 @@
   g_free (gossip);
 }
 
-/* Takes up to `count` of the addresses in one hall, or out of it, at random. */
+/* Probes up to `count` random addresses, in this hall or in others. */
 static void
 join_some (Gossip *gossip, const GArray *found, gboolean own_hall, guint count)
 {
--- a/daemon/src/member/gossip.h
+++ b/daemon/src/member/gossip.h
@@ -1,6 +1,7 @@
 /*
- * The membership's datagrams, and what they bring about: alive and dead nodes and
- * targets' verdicts for the balancer, newer configurations for the sync.
+ * Sends and receives the datagrams of the membership protocol. The liveness of nodes and
+ * the verdicts on targets go to the balancer, newer generations to the configuration
+ * sync.
  */
 #ifndef DAEMON_GOSSIP_H
 #define DAEMON_GOSSIP_H
@@ -9,28 +10,30 @@
 
 #include "node.h"
 
-/* NULL, with `error` set, when the nodes' address cannot be bound. */
+/* Returns NULL and sets `error` if the nodes' address cannot be bound. */
 Gossip *gossip_create (Node *node, GError **error);
 void gossip_destroy (Gossip *gossip);
 
-/* Tells a few members of each hall at once, rather than with the next probe. */
+/* Sends this node's news to a few members of this and other halls now, instead of with
+   the next probe. */
 void gossip_push (Gossip *gossip);
 
-/* Tells the quarantine's news to a few members soon, and goes on until it has been told
-   enough. */
+/* Starts to send the quarantine's news to a few members at intervals, until each entry
+   has been sent often enough. */
 void gossip_spread (Gossip *gossip);
 
-/* Where a node is said to be. */
+/* A node's address as discovery reports it. */
 typedef struct
 {
   char *address;
-  char *hall; /* "" where it is not known */
+  char *hall; /* "" if unknown */
 } GossipAddress;
 
-/* Makes this node known to a few of those found (of GossipAddress). */
+/* Probes a few of the discovered nodes (of GossipAddress), which announces this node. */
 void gossip_join (Gossip *gossip, const GArray *found);
 
-/* The members in the buckets that differ; `rumours` is to be freed, its texts not. */
+/* Fills `res` with the members of the buckets that differ. The caller frees the `rumours`
+   array; its strings are borrowed from the membership. */
 void gossip_answer_view (Node *node, const sw_view_args *args, sw_view_res *res);
 
 #endif
--- a/daemon/src/member/path-probe.c
+++ b/daemon/src/member/path-probe.c
@@ -3,7 +3,7 @@
 #include "log.h"
 #include "peers.h"
 
-/* A cut path is found mended within about so long. */
+/* Interval between pings, and about the time in which a path's recovery is detected. */
 #define PROBE_EVERY_US (400 * MS_US)
 /* Long enough for a lost packet to be sent again (200 ms) and answered. */
 #define PROBE_TIMEOUT_US (350 * MS_US)
@@ -13,8 +13,8 @@
   PathProbes *probes;
   char *vm;
   LoopTimer *timer;
-  gboolean busy; /* a ping is on its way */
-  gboolean over;
+  gboolean busy; /* a ping is in flight */
+  gboolean over; /* to be freed when the ping ends */
   gint64 began_us;
 } Probe;
 
@@ -29,7 +29,7 @@
 {
   Probe *probe = data;
 
-  /* A ping on its way still needs the probe; it frees it. */
+  /* A ping in flight still uses the probe; its callback frees it. */
   probe->over = TRUE;
   loop_timer_stop (probe->timer);
   if (probe->busy)
@@ -78,7 +78,7 @@
   PathProbes *probes = probe->probes;
   const Member *member = members_find (probes->node->members, probe->vm);
 
-  /* The membership says when a dead node is back. */
+  /* A dead node needs no probe: the membership reports when it is back. */
   if (!member || !members_is_alive (member))
     {
       balancer_set_path (probes->node->balancer, probe->vm, TRUE);
--- a/daemon/src/member/path-probe.h
+++ b/daemon/src/member/path-probe.h
@@ -1,17 +1,18 @@
 /*
- * Broken paths: a node that did not answer from here gets no work from here until it has
- * answered a ping. Requests are too good to find out with.
+ * Probes broken paths: a node that did not answer calls of this node gets no work from it
+ * until it has answered a ping. Requests of callers are not risked for such probes.
  */
 #ifndef DAEMON_PATH_PROBE_H
 #define DAEMON_PATH_PROBE_H
 
 #include "node.h"
 
-/* The node's peers tell it of nodes that do not answer: it outlives them. */
+/* node->peers reports nodes that do not answer, and so must be destroyed first. */
 PathProbes *path_probes_create (Node *node);
 void path_probes_destroy (PathProbes *probes);
 
-/* Calls to a node went unanswered: closes the path there, and pings until it opens. */
+/* Closes the path to a node that has not answered calls, and pings the node until it
+   answers or the membership holds it dead. Does nothing if it is probed already. */
 void path_probes_begin (PathProbes *probes, const char *vm);
 
 #endif
--- a/daemon/src/member/peer-watch.c
+++ b/daemon/src/member/peer-watch.c
@@ -1,18 +1,19 @@
 #include "peer-watch.h"
 
-/* A node that has said nothing for so long is pinged; at first sooner, for many that die
-   have done so before the request, and others must not be sent after it. */
+/* Time without a message from the node after which it is pinged. The first ping comes
+   sooner, because many failed nodes failed before the request was sent, and no further
+   requests must be sent to them. */
 #define QUIET_FIRST_US (60 * MS_US)
 #define QUIET_US (250 * MS_US)
-/* A ping takes some 4 ms between halls, and 20 ms on a node that is slow: without an
-   answer in three times that the node had better get nothing new. */
+/* A ping takes about 4 ms between halls, and 20 ms on a slow node. Without an answer in
+   three times that, the path is marked as doubtful. */
 #define DOUBT_US (60 * MS_US)
-/* Long enough for a lost packet to be sent twice more (200 ms each) and answered. */
+/* Long enough for a lost packet to be sent again twice (200 ms each) and answered. */
 #define PING_TIMEOUT_US (540 * MS_US)
 
 typedef struct
 {
-  PeerWatch *watch; /* NULL when it has ended meanwhile */
+  PeerWatch *watch; /* NULL once the watch has been destroyed */
 } Ping;
 
 struct PeerWatch
@@ -20,7 +21,7 @@
   Node *node;
   char *vm;
   LoopTimer *timer;
-  Ping *ping; /* on its way; NULL for none */
+  Ping *ping; /* in flight; NULL for none */
   PeerWatchLost lost;
   gpointer data;
 };
@@ -36,7 +37,7 @@
     return;
   watch->ping = NULL;
   loop_timer_stop (watch->timer);
-  /* A refusal is an answer too. */
+  /* A refusal shows that the node is reachable, too. */
   if (outcome == RPC_OK || outcome == RPC_DENIED)
     {
       balancer_note_path (watch->node->balancer, watch->vm, TRUE);
--- a/daemon/src/member/peer-watch.h
+++ b/daemon/src/member/peer-watch.h
@@ -1,6 +1,6 @@
 /*
- * Watches over a node while a long call to it is on its way: a target may take its time,
- * but the node beside it answers a ping at once, or is not there.
+ * Monitors a node while a long call to it is in flight: its target may take long to
+ * answer, but the node itself answers a ping at once unless it is down or unreachable.
  */
 #ifndef DAEMON_PEER_WATCH_H
 #define DAEMON_PEER_WATCH_H
@@ -9,12 +9,13 @@
 
 typedef struct PeerWatch PeerWatch;
 
-/* Runs once, from the loop, when the node has not answered a ping; the watch is over. */
+/* Called from the loop, at most once, when the node has not answered a ping. No further
+   pings follow; the watch still has to be destroyed. */
 typedef void (*PeerWatchLost) (gpointer data);
 
 PeerWatch *
 peer_watch_create (Node *node, const char *vm, PeerWatchLost lost, gpointer data);
-/* Ends it; NULL is fine. */
+/* Accepts NULL. */
 void peer_watch_destroy (PeerWatch *watch);
 
 #endif
--- a/daemon/src/member/peers.c
+++ b/daemon/src/member/peers.c
@@ -5,7 +5,7 @@
 #include "log.h"
 #include "rumour.h"
 
-/* A reading older than this is renewed, long before the fence's window is over. */
+/* A clock reading older than this is renewed, well before the fence's window ends. */
 #define READING_MAX_AGE_US (30 * SECOND_US)
 #define CHECK_TIMEOUT_US (500 * MS_US)
 
@@ -16,10 +16,10 @@
   char *address;
   RpcPeer *rpc;
   gboolean open;
-  gboolean checking; /* peers_check waits for its answer */
-  guint connection;  /* on which the session was opened */
+  gboolean checking; /* a check is in flight */
+  guint connection;  /* number of the connection that the session is on */
   PeerStamp stamp;
-  gint64 stamped_us; /* on this node's clock */
+  gint64 stamped_us; /* when the stamp was received, on this node's clock */
 } Peer;
 
 typedef struct
@@ -34,7 +34,7 @@
 {
   Node *node;
   GHashTable *table; /* vm → Peer */
-  gboolean closing;  /* calls that are dropped must not lead to new ones */
+  gboolean closing;  /* callbacks of dropped calls must not start new calls */
   PeersUnanswered unanswered;
   gpointer unanswered_data;
 };
@@ -87,8 +87,8 @@
   return peers->closing ? NULL : g_hash_table_lookup (peers->table, vm);
 }
 
-/* Where a node is, by the membership or, before it is known there, by the platform's
-   list; NULL for nowhere. */
+/* Returns a node's address from the membership or, until it is known there, from the
+   platform's list; NULL if it is unknown. */
 static const char *
 address_of (const Node *node, const char *vm)
 {
@@ -100,7 +100,8 @@
   return entry ? entry->address : NULL;
 }
 
-/* The peer at the address that is known now; NULL when there is none. */
+/* Returns the peer at the node's present address, creating it if needed; NULL if the
+   address is unknown. */
 static Peer *
 peer_of (Peers *peers, const char *vm)
 {
@@ -133,7 +134,7 @@
 {
   if (strcmp (stamp->node, peer->vm) != 0)
     return;
-  /* Answers overtake each other: only a later reading of the same clock is taken. */
+  /* Answers may arrive out of order: an earlier reading of the same clock is ignored. */
   if (peer->open && peer->stamp.incarnation == stamp->incarnation &&
       (gint64)stamp->clock_us < peer->stamp.reading_us)
     return;
@@ -176,8 +177,9 @@
 }
 
 /*
- * The address is another node's by now. 11 VMs whose addresses were used again cost 2,400
- * of 108,000 requests of a fleet of 353: nine in a row were sent to them, and refused.
+ * Handles an answer from node `other` at the address of `vm`, which has been reassigned.
+ * In a fleet of 353, 11 VMs whose addresses were reused cost 2,400 of 108,000 requests:
+ * nine in a row were sent to them and refused.
  */
 static void
 note_other (Node *node, const char *vm, const char *other)
@@ -221,7 +223,7 @@
   g_free (opening);
 }
 
-/* What the bytes of a call are counted as. */
+/* Returns the kind of traffic that a call's bytes are counted as. */
 static TrafficKind
 traffic_of (const RpcProcedure *procedure)
 {
--- a/daemon/src/member/peers.h
+++ b/daemon/src/member/peers.h
@@ -1,6 +1,6 @@
 /*
- * RPC connections to other nodes, and what their sidecars last said: a session holds
- * the incarnation and a reading of the sidecar's clock that each attempt must carry.
+ * RPC connections to other nodes and the sessions on them. A session holds the sidecar's
+ * incarnation and a reading of its clock, which each attempt must carry.
  */
 #ifndef DAEMON_PEERS_H
 #define DAEMON_PEERS_H
@@ -9,7 +9,7 @@
 
 #include "node.h"
 
-/* What an attempt or a question is addressed with. */
+/* The sidecar's stamp that attempts and fence queries carry. */
 typedef struct
 {
   guint64 incarnation;
@@ -19,37 +19,38 @@
 Peers *peers_create (Node *node);
 void peers_destroy (Peers *peers);
 
-/* What is told of each node that could not be asked for a session. */
+/* Called for each node that has not answered a request for a session. */
 typedef void (*PeersUnanswered) (const char *vm, gpointer data);
 void peers_set_unanswered (Peers *peers, PeersUnanswered unanswered, gpointer data);
 
-/* Runs once, perhaps inside peers_open; `stamp` is NULL when the node cannot be reached.
- */
+/* Called once, possibly inside peers_open. `stamp` is NULL if there is no session: the
+   node is unknown, unreachable or has refused. */
 typedef void (*PeersOpened) (const PeerStamp *stamp, gpointer data);
 
-/* Makes sure that there is a session with a node, on its present connection. */
+/* Opens a session with a node unless its present connection has a fresh one. */
 void peers_open (
     Peers *peers, const char *vm, gint64 timeout_us, PeersOpened opened, gpointer data);
 
-/* Whether peers_open would call back at once. */
+/* Returns whether there is a fresh session, which peers_open would use at once. */
 gboolean peers_has_session (const Peers *peers, const char *vm);
 
-/* When a node was last heard over RPC; 0 for never. */
+/* Returns when a node last sent anything over RPC, on the loop's clock; 0 for never. */
 gint64 peers_heard_us (const Peers *peers, const char *vm);
 
-/* The connection to a node is silent: the next call opens a new one, for one may go
-   silent for good while others work. What is on its way is lost. */
+/* Drops the connection to a node, because a single connection may hang for good while
+   others work. Calls in flight are lost; the next call opens a new connection. */
 void peers_renew (Peers *peers, const char *vm);
 
-/* A node has not answered at once: for a second, or until it answers, it gets only what
-   nobody else can take. */
+/* Marks the path to a node as doubtful, because the node is slow to answer. For a second,
+   or until it answers, it gets only work that no other node can take. */
 void peers_doubt (Peers *peers, const char *vm);
 
-/* Calls a node for nothing but its answer. */
+/* Calls a node's empty procedure, as peers_call does. */
 void peers_ping (
     Peers *peers, const char *vm, gint64 timeout_us, RpcDoneFunc done, gpointer data);
 
-/* Calls a node; RPC_UNSENT when its address is not known. Returns the bytes sent. */
+/* Calls a node and returns the bytes sent. If the node's address is unknown, `done` is
+   called with RPC_UNSENT inside this function. */
 gsize peers_call (Peers *peers,
                   const char *vm,
                   const RpcProcedure *procedure,
@@ -58,14 +59,16 @@
                   RpcDoneFunc done,
                   gpointer data);
 
-/* Whether a node is of this node's data hall; an unknown one is not. */
+/* Returns whether a node is in this node's data hall; FALSE for an unknown node. */
 gboolean peers_in_own_hall (const Node *node, const char *vm);
 
-/* Takes the stamp and the state that came with an answer. */
+/* Apply the stamp and the target state of an answer. A stamp of another incarnation than
+   the session's is ignored. */
 void peers_note_stamp (Peers *peers, const sw_stamp *stamp);
 void peers_note_state (Peers *peers, const sw_stamp *stamp, const sw_target_state *state);
 
-/* Asks whether a node answers at all, for the breaker of its path. */
+/* Sends a request for a session to a node, to tell its path's circuit breaker whether the
+   node answers. Does nothing while such a check is in flight. */
 void peers_check (Peers *peers, const char *vm);
 
 #endif
--- a/daemon/src/member/rumour.c
+++ b/daemon/src/member/rumour.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Lends a text of the membership to a message. */
+/* Points a message's data at a member's bytes; leaves it as it is if they are NULL. */
 static void
 lend (GBytes *bytes, char **data, u_int *len)
 {
@@ -44,7 +44,7 @@
   lend (brief.state, &words->state.state_val, &words->state.state_len);
 }
 
-/* NULL for nothing. */
+/* Returns NULL for empty data. */
 static GBytes *
 copy_of (const char *data, u_int len)
 {
--- a/daemon/src/member/rumour.h
+++ b/daemon/src/member/rumour.h
@@ -1,6 +1,6 @@
 /*
- * Members as they stand in messages between nodes, and back: whole ones (rumours), and
- * briefs of those that the receiver knows.
+ * Converts members to and from gossip messages: complete entries (rumours), and short
+ * entries (briefs) for receivers that know the member.
  */
 #ifndef DAEMON_RUMOUR_H
 #define DAEMON_RUMOUR_H
@@ -8,11 +8,11 @@
 #include <core/members.h>
 #include <wire/message.h>
 
-/* A member as a rumour or a brief, whose texts are borrowed from it. */
+/* Fill a rumour or a brief with data that is borrowed from the member. */
 void rumour_fill (const Member *member, sw_rumour *rumour);
 void rumour_fill_brief (const Member *member, sw_brief *words);
 
-/* Takes a rumour or a brief in; TRUE when it was news. */
+/* Merge a rumour or a brief into the membership. Return TRUE if it was new. */
 gboolean rumour_merge (Members *members, const sw_rumour *rumour);
 gboolean rumour_merge_brief (Members *members, const sw_brief *words);
 
--- a/daemon/src/member/vm-list.c
+++ b/daemon/src/member/vm-list.c
@@ -14,7 +14,7 @@
 {
   Node *node;
   LoopTimer *timer;
-  char *version; /* of the list as last read to its end */
+  char *version; /* of the list read last; NULL to read any */
 };
 
 typedef struct
@@ -32,7 +32,8 @@
   g_free (notice);
 }
 
-/* One that was not told is told with the next reading, which must not be skipped. */
+/* After a failure the version is forgotten, so that the next read delivers the list again
+   and the node is notified then. */
 static void
 on_told (RpcOutcome outcome, void *result, gpointer data)
 {
--- a/daemon/src/member/vm-list.h
+++ b/daemon/src/member/vm-list.h
@@ -1,7 +1,8 @@
 /*
- * The platform's lagging list of VMs, the fallback for a planned departure that a node
- * was not told of itself: the watchers of a hall read it and tell the VMs that leave.
- * One that cannot be told cannot be given work either, for work goes the same way.
+ * Reads the platform's lagging list of VMs, as a fallback for planned departures that
+ * a node was not notified of directly. The watchers of a hall read the list and
+ * notify the nodes whose VMs are leaving. A node that cannot be notified cannot be given
+ * work either, because work takes the same path.
  */
 #ifndef DAEMON_VM_LIST_H
 #define DAEMON_VM_LIST_H
