--- a/daemon/src/member/gossip.c
+++ b/daemon/src/member/gossip.c
@@ -34,7 +34,7 @@
 #define SPREAD_FIRST_US (10 * MS_US)
 #define SPREAD_URGENT_US (100 * MS_US)
 #define SPREAD_AGAIN_US (600 * MS_US)
-/* The lowest sequence number of relayed probes, joins and news; the numbers of the
+/* Set in the sequence numbers of relayed probes, joins and news; the numbers of the
    membership's own probes are below it. */
 #define RELAY_SEQUENCES 0x80000000u
 #define RELAY_LIFE_US (2 * SECOND_US)
