--- a/daemon/src/account/account-stats.c
+++ b/daemon/src/account/account-stats.c
@@ -3,18 +3,18 @@
 #include <core/histogram.h>
 #include <core/json-write.h>
 
-/* Accounts that are counted by name. With 1,200 nodes and 44,000 accounts a node serves
-   some hundred of them at a time; twenty lines of metrics each are 64 kB. */
+/* Accounts that are counted by name. With 1,200 nodes and 44,000 accounts, a node serves
+   some hundred at a time; at twenty lines of metrics for each account this limit gives
+   64 kB. */
 #define NAMED_MAX 32u
-/* How often the weights of the named are halved: those of which nothing comes make room.
- */
+/* How often the weights of the named accounts are halved, so that idle ones make room. */
 #define FORGET_EVERY_US (10 * SECOND_US)
 
 typedef struct
 {
   guint64 events[ACCOUNT_EVENTS];
   Histogram *took;
-  guint weight; /* requests of late */
+  guint weight; /* recent requests; halved every FORGET_EVERY_US */
 } Counts;
 
 struct AccountStats
@@ -29,7 +29,7 @@
                                                          "exceeded",
                                                          "allowance-unknown" };
 
-/* Upper bounds of the exposed buckets, in microseconds. */
+/* Upper bounds of the histogram buckets in the metrics. */
 static const gint64 bounds_us[] = { 50000, 100000, 250000, 500000, 1000000, 5000000 };
 
 static Counts *
@@ -72,7 +72,8 @@
   g_free (stats);
 }
 
-/* The histogram of one that makes room is not kept; its counts are. */
+/* Removes idle accounts. Their counts are added to the others', their histograms are
+   lost. */
 static void
 forget (AccountStats *stats)
 {
--- a/daemon/src/account/allowance-fleet.c
+++ b/daemon/src/account/allowance-fleet.c
@@ -3,27 +3,27 @@
 #include <string.h>
 
 /*
- * A node that has just started does not know the fleet yet, and would take itself for a
- * lender of every account. It goes by the platform's list at first, on which all agree;
- * without one it lends when gossip has had time to get round. 115 nodes that had been
- * killed at once knew nine tenths of each other a second after their start, and 2,600
- * requests were refused meanwhile.
+ * A node that has just started does not know the fleet yet, and would consider itself a
+ * lender of every account. At first it uses the platform's list, which is the same for
+ * all nodes; without one it does not lend until gossip has had this long to spread. 115
+ * nodes that had been killed at once knew nine tenths of each other one second after
+ * their start; 2,600 requests were refused in that second.
  */
 #define YOUNG_US SECOND_US
-/* So long it goes by the list. Whom it finds in this time was there before it: with its
-   own life begins what it lends. */
+/* How long after its start a node uses the list. Members found in this time were there
+   before it, so they do not move the time from which it lends, which is its start. */
 #define FINDING_US (3 * SECOND_US)
-/* The largest fleet seen in so long is what shares are of: those that are cut off are
-   found out within seconds, and come back, or have left. */
+/* Shares refer to the largest fleet seen within this time. Nodes that are cut off are
+   detected within seconds, and later rejoin or count as having left. */
 #define MOST_KEPT_US (30 * SECOND_US)
 
 struct AllowanceFleet
 {
   const Node *node;
-  GHashTable *halls; /* of those that are there: node → hall */
-  GHashTable *gone;  /* set of those that gossip calls dead, or left */
+  GHashTable *halls; /* live members: node → hall */
+  GHashTable *gone;  /* set of the nodes that gossip reports as dead or left */
   GArray *nodes;     /* of AllowanceNode, borrowed from `halls` and the list */
-  gboolean by_list;  /* as `nodes` is now */
+  gboolean by_list;  /* `nodes` includes the platform's list */
   gint64 changed_us;
   guint most;
   gint64 most_until_us;
@@ -69,7 +69,7 @@
   return clock_now (fleet->node->clock) - fleet->node->started_us;
 }
 
-/* While a fleet starts for the first time its list is as incomplete as its view. */
+/* When a fleet starts for the first time, the list is as incomplete as the membership. */
 static gboolean
 goes_by_list (const AllowanceFleet *fleet)
 {
@@ -77,7 +77,7 @@
          !fleet->node->settings->first_start;
 }
 
-/* Those of the list that nothing has been heard of. */
+/* Adds the listed nodes that gossip has not reported, neither as alive nor as gone. */
 static void
 add_listed (AllowanceFleet *fleet)
 {
@@ -171,7 +171,8 @@
   return g_strcmp0 (hall, fleet->node->settings->hall) == 0;
 }
 
-/* The nearest first: its answer comes soonest, and costs no bytes between halls. */
+/* Moves a lender of this node's hall to the front: its answer comes soonest, and costs no
+   traffic between halls. */
 static void
 own_hall_first (const AllowanceFleet *fleet, const char **lenders, guint count)
 {
@@ -204,7 +205,7 @@
   return age_us (fleet) < YOUNG_US && !fleet->by_list;
 }
 
-/* The part of the fleet that this node sees. The list is taken as the whole. */
+/* The part of the fleet that this node sees, 0 to 1. The list counts as the whole. */
 static double
 seen_share (const AllowanceFleet *fleet)
 {
--- a/daemon/src/account/allowance-fleet.h
+++ b/daemon/src/account/allowance-fleet.h
@@ -1,6 +1,6 @@
 /*
- * The fleet as allowances see it: who lends for an account, and how much of the fleet
- * there is to be seen.
+ * The fleet's nodes for the purpose of allowances: which nodes lend for an account, and
+ * how much of the fleet this node can see.
  */
 #ifndef DAEMON_ALLOWANCE_FLEET_H
 #define DAEMON_ALLOWANCE_FLEET_H
@@ -14,26 +14,28 @@
 AllowanceFleet *allowance_fleet_create (const Node *node);
 void allowance_fleet_destroy (AllowanceFleet *fleet);
 
-/* Takes in what the membership says of a member; TRUE when it has come or gone. */
+/* Applies a member's state; TRUE when the member has joined or left. */
 gboolean allowance_fleet_note (AllowanceFleet *fleet, const Member *member);
 
-/* The platform's list has been read. */
+/* The platform's list has been read to its end. */
 void allowance_fleet_note_list (AllowanceFleet *fleet);
 
-/* Goes by the members that have been heard once the time of the list is over; TRUE when
-   that is now, and others may lend than did. To be called before the two that follow. */
+/* Switches from the platform's list to the known members once the list's time is over;
+   TRUE when it switches, which may change the lenders. Call before
+   allowance_fleet_lenders and allowance_fleet_share. */
 gboolean allowance_fleet_leave_list (AllowanceFleet *fleet);
 
-/* The lenders of an account, those of this node's hall first; borrowed until somebody
-   comes or goes. Returns how many there are. */
+/* Fills in the lenders of an account, with one of this node's hall first, and returns
+   their number. The names are valid until a member joins or leaves. */
 guint allowance_fleet_lenders (const AllowanceFleet *fleet,
                                const char *account,
                                const char *lenders[ALLOWANCE_LENDERS]);
 
-/* This node's share of the account's allowance, 0 when it does not lend for it. */
+/* This node's share of the account's allowance, 0 to 1; 0 when it is not a lender. */
 double allowance_fleet_share (const AllowanceFleet *fleet, const char *account);
 
-/* Since when nobody has come or gone: from then on this node alone lends its share. */
+/* The time, by the node's clock, from which this node alone lends its share: its start,
+   or the last change in the membership after its first seconds. */
 gint64 allowance_fleet_since_us (const AllowanceFleet *fleet);
 
 #endif
--- a/daemon/src/account/allowances-lend.c
+++ b/daemon/src/account/allowances-lend.c
@@ -16,8 +16,9 @@
   allowance_fleet_note_list (allowances->fleet);
 }
 
-/* Forgets what others lend by now: should it fall to this node again, its buckets would
-   be full of what they have lent. */
+/* Drops the buckets of accounts that other nodes lend for now. Otherwise, when this node
+   became their lender again, the buckets would have filled up with what the others have
+   lent meanwhile. */
 static void
 prune (Allowances *allowances)
 {
@@ -31,7 +32,7 @@
     prune (allowances);
 }
 
-/* With whoever comes or goes, other nodes may lend what this one lent. */
+/* A member that joins or leaves may change the lenders of any account. */
 void
 allowances_note_member (Allowances *allowances, const Member *member)
 {
@@ -39,7 +40,7 @@
     prune (allowances);
 }
 
-/* Of the two the newer configuration decides. */
+/* The account's limits from the newer configuration, this node's or the caller's. */
 static AllowanceTerms
 terms_of (const Allowances *allowances, const sw_allow_args *args)
 {
@@ -66,7 +67,7 @@
   if (share <= 0)
     return;
   res->lender = TRUE;
-  /* Without a limit by now: a newer configuration than the one that was asked under. */
+  /* This node's configuration is newer than the caller's, and has removed the limit. */
   if (terms.per_s <= 0)
     {
       res->lent = args->wanted;
--- a/daemon/src/account/allowances-private.h
+++ b/daemon/src/account/allowances-private.h
@@ -1,6 +1,6 @@
 /*
- * What the files of allowances share: allowances.c the requests that wait and the
- * questions to lenders, allowances-lend.c what this node lends, and what the log hears.
+ * Shared by the files of allowances: allowances.c has the waiting requests and the calls
+ * to lenders, allowances-lend.c the lending to other nodes and the log lines.
  */
 #ifndef DAEMON_ALLOWANCES_PRIVATE_H
 #define DAEMON_ALLOWANCES_PRIVATE_H
@@ -10,15 +10,15 @@
 
 typedef struct Queue Queue;
 
-/* A request that waits for an answer. */
+/* A request that waits for a lender's answer. */
 typedef struct
 {
   Queue *queue;
-  ExchangeOrder order; /* with references of its own */
+  ExchangeOrder order; /* holds references to its request and snapshot */
   char *id;
 } Waiter;
 
-/* The requests of one account that wait, and the question that is on its way. */
+/* The waiting requests of one account, and its call to a lender (at most one). */
 struct Queue
 {
   Allowances *allowances;
@@ -28,8 +28,8 @@
   gboolean asking;
   guint wanted;
   gint64 asked_us;
-  gint64 answered_us; /* by a lender, last */
-  char *lender;       /* that is asked */
+  gint64 answered_us; /* when a lender last answered; 0 for never */
+  char *lender;       /* the one called last */
   LoopTimer *again;
 };
 
@@ -45,7 +45,8 @@
   gpointer data;
 };
 
-/* Takes up that the time of the platform's list is over. */
+/* Switches from the platform's list to the membership once the list's time is over; call
+   before the lenders of an account are determined. */
 void allowances_refresh (Allowances *allowances);
 
 #endif
--- a/daemon/src/account/allowances.c
+++ b/daemon/src/account/allowances.c
@@ -9,22 +9,23 @@
 #include "log.h"
 #include "peers.h"
 
-/* A lender answers in a round trip, within 20 ms from a node that is slow. */
+/* A lender answers within one round trip, and within 20 ms when its node is slow. */
 #define ASK_TIMEOUT_US (60 * MS_US)
 #define OPEN_TIMEOUT_US (100 * MS_US)
-/* One that does not answer is left alone for a while. */
+/* How long a lender that did not answer is skipped. */
 #define SILENT_US (500 * MS_US)
-/* One that does not take itself for a lender has another view of the fleet, which meets
-   ours within that of a probe. */
+/* How long a node that answers that it is no lender is skipped. Its view of the fleet
+   differs from ours, and the views converge within a probe. */
 #define NOT_LENDER_US (50 * MS_US)
-/* While no lender can be asked a request waits for half of its objective: a fleet that
-   has just started knows itself within a second. */
+/* While no lender can be called, a request waits for half of its latency objective: the
+   nodes of a fleet that has just started know each other within a second. */
 #define UNKNOWN_PARTS 2
 #define UNKNOWN_DEFAULT_US (250 * MS_US)
 #define LOOK_AGAIN_US (25 * MS_US)
-/* A lender that has answered in so long knows how the account stands. */
+/* While the last answer of a lender is younger than this, the allowance counts as
+   exceeded and not as unknown. */
 #define ANSWER_FRESH_US (2 * SECOND_US)
-/* A caller needs a moment to come again; less is not worth being said. */
+/* Shortest retry time given to a caller, which needs some time to send again anyway. */
 #define RETRY_MIN_US (20 * MS_US)
 #define SWEEP_US (10 * SECOND_US)
 #define UNKNOWN_RETRY_US (500 * MS_US)
@@ -43,7 +44,7 @@
   g_free (waiter);
 }
 
-/* Ends a wait with an answer; what the order holds is lent on. */
+/* Ends a wait with a verdict. The order's references are released after the call. */
 static void
 settle (Waiter *waiter, AllowanceOutcome outcome, gint64 retry_after_us)
 {
@@ -106,7 +107,7 @@
   return queue;
 }
 
-/* Lets through those for which something is at hand. */
+/* Grants waiting requests, oldest first, while there is borrowed allowance. */
 static void
 serve (Queue *queue)
 {
@@ -160,7 +161,7 @@
     }
 }
 
-/* Nobody is worth asking now. */
+/* No lender can be called for the next `wait_us`. */
 static void
 give_up (Queue *queue, gint64 wait_us)
 {
@@ -172,7 +173,7 @@
     loop_timer_start (queue->again, LOOK_AGAIN_US);
 }
 
-/* What a lender has said, or that it has said nothing. */
+/* Handles a lender's answer; NULL when there was none. */
 static void
 take_answer (Queue *queue, const sw_allow_res *res)
 {
@@ -211,7 +212,7 @@
   args->account = queue->account;
   args->wanted = queue->wanted;
   args->generation = snapshot_generation (config_sync_snapshot (node->config));
-  /* An allowance of less than a thousandth a second is not none. */
+  /* An allowance below a thousandth per second is rounded up: 0 would mean no limit. */
   args->per_s_milli = (u_int)CLAMP (queue->terms.per_s * 1000, 1, G_MAXUINT32);
   args->burst_milli = (u_int)MIN (queue->terms.burst * 1000, G_MAXUINT32);
 }
@@ -295,7 +296,7 @@
   g_queue_push_tail (&queue->waiters, waiter);
 }
 
-/* Accounts of which nothing has come for a while are forgotten. */
+/* Every SWEEP_US, drops the queues without waiters, a pending call or a recent answer. */
 static void
 sweep (Allowances *allowances)
 {
@@ -316,7 +317,7 @@
     }
 }
 
-/* Those who wait already come first. */
+/* A new request goes behind those that already wait. */
 void
 allowances_offer (Allowances *allowances, const ExchangeOrder *order)
 {
--- a/daemon/src/account/allowances.h
+++ b/daemon/src/account/allowances.h
@@ -1,10 +1,10 @@
 /*
- * Allowances at one node: lets a request through when its account's allowance has room
- * for it, and lends to other nodes for the accounts that fall to this one
- * (core/allowance.h).
+ * Rate limiting of client accounts at one node: admits a request when its account's
+ * allowance has room for it, and lends to other nodes for the accounts that this node is
+ * a lender of (core/allowance.h).
  *
- * A request that finds nothing at hand waits for one answer of a lender, a round trip
- * between nodes. Nothing is asked of the platform.
+ * A request that finds nothing borrowed yet waits for the answer of a lender, one round
+ * trip between nodes. The platform is not involved.
  */
 #ifndef DAEMON_ALLOWANCES_H
 #define DAEMON_ALLOWANCES_H
@@ -17,17 +17,18 @@
 typedef enum
 {
   ALLOWANCE_GRANTED,
-  ALLOWANCE_EXCEEDED, /* the account has asked for more than it may */
-  ALLOWANCE_UNKNOWN   /* no lender can be asked */
+  ALLOWANCE_EXCEEDED, /* the account has sent more requests than its allowance */
+  ALLOWANCE_UNKNOWN   /* no lender answered in time, or the node stops */
 } AllowanceOutcome;
 
 typedef struct
 {
   AllowanceOutcome outcome;
-  gint64 retry_after_us; /* unless granted */
+  gint64 retry_after_us; /* 0 when granted */
 } AllowanceVerdict;
 
-/* Told of each request once, at once or later; `order` is lent. */
+/* Runs once for each request offered, unless its caller hangs up first. `order` is valid
+   only during the call. */
 typedef void (*AllowanceDone) (ExchangeOrder *order,
                                const AllowanceVerdict *verdict,
                                gpointer data);
@@ -36,23 +37,25 @@
 void allowances_destroy (Allowances *allowances);
 void allowances_set_done (Allowances *allowances, AllowanceDone done, gpointer data);
 
-/* A request that is to be let through or not. */
+/* Checks a request against its account's allowance. The function set above runs within
+   this call or later; requests that wait keep their own references. */
 void allowances_offer (Allowances *allowances, const ExchangeOrder *order);
 
-/* Refuses all that wait, for a stop; returns how many there were. */
+/* Refuses all waiting requests, for a stop; returns their number. */
 guint allowances_cut (Allowances *allowances);
 
-/* What the membership says of a member. */
+/* Applies a member's state, after a change in the membership. */
 void allowances_note_member (Allowances *allowances, const Member *member);
 
-/* The platform's list of the fleet has been read. */
+/* The platform's list of the fleet has been read to its end. */
 void allowances_note_list (Allowances *allowances);
 
-/* Another node asks this one, or this one itself. */
+/* Answers a lending request of another node, or of this node itself. `res` must be
+   zeroed; it stays so when this node is no lender of the account. */
 void
 allowances_lend (Allowances *allowances, const sw_allow_args *args, sw_allow_res *res);
 
-/* Counts a request that is refused, with one line for the log that says why. */
+/* Counts a refused request, and logs one line with the reason. */
 void allowances_log (const Allowances *allowances,
                      const ExchangeOrder *order,
                      const AllowanceVerdict *verdict);
--- a/daemon/src/account/credentials.c
+++ b/daemon/src/account/credentials.c
@@ -5,11 +5,11 @@
 #include <io/http-types.h>
 
 #define SCHEME "Bearer"
-/* Operators' keys have some twenty bytes. Whatever is longer is nobody's, and takes no
-   time to be digested. */
+/* Operators' keys have some twenty bytes. A longer text cannot be a valid key, and is
+   rejected without being hashed. */
 #define KEY_MAX 1024u
 
-/* The key behind the scheme, or NULL. Blanks round it are not part of it (RFC 9110,
+/* The key after the scheme, or NULL. Blanks around the key are not part of it (RFC 9110,
    section 11.4). */
 static const char *
 key_of (const char *value, gsize *len)
--- a/daemon/src/account/credentials.h
+++ b/daemon/src/account/credentials.h
@@ -1,6 +1,6 @@
 /*
- * The access key that a caller's request carries, "Authorization: Bearer KEY". Its text
- * goes no further than this: all else knows a key by its digest.
+ * Reads the access key from a caller's request, "Authorization: Bearer KEY". The key's
+ * text is used only here; all other code works with its digest.
  */
 #ifndef DAEMON_CREDENTIALS_H
 #define DAEMON_CREDENTIALS_H
@@ -11,12 +11,13 @@
 
 typedef enum
 {
-  CREDENTIALS_NONE, /* no such header */
-  CREDENTIALS_BAD,  /* no key can be read from it, or there are several */
+  CREDENTIALS_NONE, /* no Authorization header */
+  CREDENTIALS_BAD,  /* the header is malformed, or there are several */
   CREDENTIALS_KEY
 } Credentials;
 
-/* Reads them from an array of HttpHeader; fills `digest` for CREDENTIALS_KEY. */
+/* Reads the credentials from an array of HttpHeader; sets `digest` to the key's SHA-256
+   for CREDENTIALS_KEY only. */
 Credentials credentials_read (const GArray *headers, guint8 digest[CONFIG_KEY_DIGEST]);
 
 #endif
--- a/daemon/src/account/identity.c
+++ b/daemon/src/account/identity.c
@@ -7,12 +7,12 @@
 #include "config-sync.h"
 #include "log.h"
 
-/* As much of a digest as tells an operator's keys apart, and is no help in finding one.
- */
+/* Bytes of a key's digest in the log: enough to tell an operator's keys apart, too few to
+   help in finding a key. */
 #define DIGEST_SHOWN 4u
 
-/* Routes that are open to all need no key, but one that is sent must be good: a caller
-   whose key was taken away is not let in by leaving out where it stands. */
+/* Open routes need no key. Where the dialect checks keys on every route, a key that is
+   sent must still be valid, so that a caller with a revoked key is refused there too. */
 static gboolean
 is_looked_at (const Dialect *dialect, const Snapshot *snapshot, const Route *route)
 {
--- a/daemon/src/account/identity.h
+++ b/daemon/src/account/identity.h
@@ -1,8 +1,9 @@
 /*
- * Whose request it is: the client account that its access key belongs to, under the
- * configuration in force when the request has been read. That one decides to the end: a
- * key that is taken away while the request waits, or between two attempts, does not cut
- * it, and one that is passed on leaves it its former holder's.
+ * Authentication of callers: finds the client account of a request's access key, in the
+ * configuration in force when the request has been read. The result holds until the
+ * request ends. Removing the key while the request waits, or between two attempts, does
+ * not abort it, and after a transfer of the key the request still belongs to the former
+ * account.
  */
 #ifndef DAEMON_IDENTITY_H
 #define DAEMON_IDENTITY_H
@@ -12,27 +13,27 @@
 
 typedef struct
 {
-  const Account *account; /* the snapshot's; NULL for nobody's */
-  gboolean identified; /* the key has been looked at, and is no matter of the target's */
-  guint status;        /* what the caller is refused with; 0 when it is not */
+  const Account *account; /* borrowed from the snapshot; NULL for none */
+  gboolean identified;    /* the key was checked here and is not passed to the target */
+  guint status;           /* HTTP status of the refusal; 0 when the caller is accepted */
   Credentials credentials;
-  guint8 digest[CONFIG_KEY_DIGEST]; /* of CREDENTIALS_KEY */
+  guint8 digest[CONFIG_KEY_DIGEST]; /* set for CREDENTIALS_KEY */
 } Identity;
 
-/* Finds out for a request on `route`, whose service is of `tenant`. */
+/* Identifies the caller of a request on `route`, whose service belongs to `tenant`. */
 Identity identity_find (const Dialect *dialect,
                         const HttpRequest *request,
                         const Snapshot *snapshot,
                         const Route *route,
                         const char *tenant);
 
-/* Why the caller is refused, in its terms. */
+/* The reason for the refusal, as text for the caller. */
 const char *identity_fault (const Identity *identity);
 
-/* One line for the log about a caller that was refused. */
+/* Counts a refused caller, and logs one line with the reason. */
 void identity_log (const Identity *identity, Node *node, const char *id);
 
-/* The rank of a request where work waits, 0 first: by account, then by route. */
+/* The queue priority of a request, 0 first: by account, then by route. */
 guint identity_rank (guint account_priority, const Route *route);
 
 #endif
