--- a/daemon/src/node/adapter.h
+++ b/daemon/src/node/adapter.h
@@ -1,6 +1,6 @@
 /*
- * What makes a node fit one kind of deployment: where its configuration comes from, how
- * its members find each other, and which HTTP dialect callers and targets speak.
+ * An adapter fits a node to one kind of deployment: where the configuration comes from,
+ * how nodes find each other, and which HTTP dialect callers and targets speak.
  */
 #ifndef DAEMON_ADAPTER_H
 #define DAEMON_ADAPTER_H
@@ -12,17 +12,17 @@
 {
   const ConfigSource *config;
   const Dialect *dialect;
-  /* Starts what finds other nodes; NULL where settings name enough of them. */
+  /* Starts the discovery of other nodes; NULL where the settings name enough of them. */
   gpointer (*discovery_create) (Node *node);
   void (*discovery_destroy) (gpointer discovery);
-  /* Follows what the platform says of evacuated data halls; NULL where it says nothing.
-   */
+  /* Starts following the platform's list of evacuated data halls; NULL where the platform
+     has none. */
   gpointer (*halls_create) (Node *node);
   void (*halls_destroy) (gpointer halls);
   gboolean vm_list; /* the platform keeps a list of VMs */
 } Adapter;
 
-/* This project's own object API and headers. */
+/* The adapter for this project's own object API and headers. */
 extern const Adapter adapter_own;
 
 #endif
--- a/daemon/src/node/main.c
+++ b/daemon/src/node/main.c
@@ -1,8 +1,8 @@
 /*
- * switchmilld: the one process in a target VM's slot.
+ * switchmilld: the daemon, one process beside each target.
  *
- * Exit codes: 0 a planned stop that cut nothing; 1 a fault at the start; 2 bad settings
- * or arguments; 3 a stop that cut requests.
+ * Exit codes: 0 planned stop, no request aborted; 1 failure at the start; 2 invalid
+ * settings or arguments; 3 requests were aborted by the stop.
  */
 #include <argtable2.h>
 #include <malloc.h>
@@ -18,7 +18,8 @@
 #include "log.h"
 #include "node-run.h"
 
-/* Bodies from this size on are mapped by themselves, and go back to the system. */
+/* Allocations from this size on (bodies) get their own mapping, so that freeing them
+   returns the memory to the system. */
 #define MAP_THRESHOLD (256 * 1024)
 
 enum
@@ -41,11 +42,11 @@
   return signalfd (-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
 }
 
-/* What signals act on. */
+/* The state that the signal handler uses. */
 typedef struct
 {
   NodeRun *run;
-  const char *path; /* of the settings */
+  const char *path; /* of the settings file */
 } Program;
 
 static Settings *
@@ -74,7 +75,7 @@
   return settings;
 }
 
-/* A file that is not valid leaves what is in force. */
+/* Reloads the settings; an invalid file leaves the current ones in force. */
 static void
 reload (Program *program)
 {
@@ -146,7 +147,7 @@
 {
   struct arg_lit *help = arg_lit0 ("h", "help", "show this help");
   struct arg_lit *version = arg_lit0 (NULL, "version", "show the version");
-  struct arg_lit *check = arg_lit0 (NULL, "check", "check the settings and leave");
+  struct arg_lit *check = arg_lit0 (NULL, "check", "check the settings and exit");
   struct arg_file *file = arg_file0 (NULL, NULL, "SETTINGS", "the node's settings, JSON");
   struct arg_end *end = arg_end (5);
   void *table[] = { help, version, check, file, end };
--- a/daemon/src/node/node-run.h
+++ b/daemon/src/node/node-run.h
@@ -1,5 +1,5 @@
 /*
- * The life of a node: made from its settings, run by the loop, stopped as planned.
+ * The life cycle of a node: created from its settings, run by the loop, and stopped.
  */
 #ifndef DAEMON_NODE_RUN_H
 #define DAEMON_NODE_RUN_H
@@ -8,7 +8,8 @@
 
 typedef struct NodeRun NodeRun;
 
-/* NULL, with `error` set, when an address cannot be bound. All arguments are borrowed. */
+/* NULL, with `error` set, when an address cannot be bound. All arguments are borrowed
+   for the lifetime of the node. */
 NodeRun *node_run_create (const Settings *settings,
                           const struct Adapter *adapter,
                           Clock *clock,
@@ -17,23 +18,25 @@
 void node_run_destroy (NodeRun *run);
 
 /*
- * A planned stop: nothing new is taken, what is in flight ends, then the loop quits; the
- * settings' time ends it at the latest. Calling it again changes nothing: a supervisor
- * that stops a node for two reasons must not cut what the first stop lets end.
+ * Starts a planned stop: after the settings' `linger_us` the node accepts no new
+ * requests, those in flight finish, and the loop quits, `stop_us` after the call at the
+ * latest. Another call changes nothing: a supervisor that stops a node for two reasons
+ * must not abort requests that the first stop lets finish.
  */
 void node_run_stop (NodeRun *run);
 
-/* For an operator at a terminal: the first call is a planned stop, the second ends it at
-   once, and those whom it cuts are told. */
+/* For an operator at a terminal: the first call starts a planned stop, the second ends it
+   at once and answers the requests that it aborts. */
 void node_run_hurry (NodeRun *run);
 
 /*
- * Takes up what may change while the node runs: the log's threshold, and the defaults of
- * services, which hold from the next configuration on. `settings` is only looked at.
+ * Applies the settings that may change while the node runs: the log threshold, and the
+ * service defaults, which take effect with the next configuration. `settings` is not
+ * kept.
  */
 void node_run_reload (NodeRun *run, const Settings *settings);
 
-/* How many requests the stop has cut. */
+/* The number of requests that the stop has aborted. */
 guint node_run_cut (const NodeRun *run);
 
 #endif
--- a/daemon/src/node/node.c
+++ b/daemon/src/node/node.c
@@ -24,13 +24,14 @@
 
 #define PEER_CONNECTIONS_MAX 4096u
 #define PEER_IDLE_US (300 * SECOND_US)
-/* A planned stop lasts at least this long, for the news of it to get round. */
+/* Shortest duration of a planned stop, so that gossip can announce it to the fleet. */
 #define STOP_LINGER_US (1500 * MS_US)
 #define STOP_CHECK_US (50 * MS_US)
-/* So long before the lingering ends the sidecar takes nothing new, for the news of it to
-   get round. Until then its target, which is well and stays, is of use to the fleet. */
+/* The sidecar stops accepting work this long before the lingering ends, so that gossip
+   can announce this. Until then its target, which is healthy and stays, is useful to the
+   fleet. */
 #define STOP_DRAIN_LEAD_US (500 * MS_US)
-/* For the last answers of a stop that cuts requests. */
+/* Time for the last answers to go out when a stop aborts requests. */
 #define STOP_FLUSH_US (200 * MS_US)
 
 struct NodeRun
@@ -40,9 +41,9 @@
   LoopTimer *stop;
   gint64 stop_began_us;
   guint cut;
-  gboolean left_before; /* the target had said that it leaves before the stop began */
-  gboolean yielded;     /* callers' requests have been given up */
-  gboolean drained;     /* the sidecar takes nothing new */
+  gboolean left_before; /* the target was leaving before the stop began */
+  gboolean yielded;     /* callers' requests were aborted as the target leaves */
+  gboolean drained;     /* the sidecar accepts no new work */
   gboolean hurried;
   gboolean ending;
 };
@@ -59,7 +60,8 @@
   return ingress_active (run->node.ingress) + sidecar_active (run->node.sidecar);
 }
 
-/* Says good-bye, and answers whom the stop cuts; their answers still have to go out. */
+/* Announces the leave to the fleet, and aborts the remaining requests. The loop keeps
+   running for STOP_FLUSH_US, so that their answers go out. */
 static void
 cut_off (NodeRun *run)
 {
@@ -89,11 +91,12 @@
 }
 
 /*
- * A supervisor that takes a VM away stops its node once the target there has ended, also
- * when another order stops the node already. It kills the node by the first order, and
- * counts the grace from the last: what is cut after that one is cut without need. So a
- * node whose target begins to leave during the stop gives up its callers' requests as
- * soon as it may; its own target's work, which is not its callers', runs on.
+ * A supervisor that removes a VM stops the VM's node once the target there has ended,
+ * even if an earlier order is stopping the node already. It kills the node by the
+ * deadline of the first order, but counts the grace period from the last one: requests
+ * aborted after the last order count as aborted without need. Therefore a node whose
+ * target begins to leave during the stop aborts its callers' requests as soon as
+ * `yield_us` allows. Work at its own target, which belongs to other callers, continues.
  */
 static gboolean
 may_yield (const NodeRun *run)
@@ -109,7 +112,8 @@
   run->cut += ingress_cut (run->node.ingress);
 }
 
-/* No moment of a stop is missed by as much as the checks are apart. */
+/* Time until the next check. A check falls on the moment from which the node may abort
+   its callers' requests, rather than up to STOP_CHECK_US later. */
 static gint64
 next_check_us (const NodeRun *run)
 {
@@ -172,7 +176,7 @@
     node_run_stop (run);
 }
 
-/* The first setting that only a restart would change, or NULL. */
+/* The first changed setting found that takes effect only after a restart, or NULL. */
 static const char *
 needs_restart (const Settings *held, const Settings *fresh)
 {
@@ -203,7 +207,7 @@
 {
   guint64 number = 0;
 
-  /* Random and not counted: this node keeps nothing from one start to the next. */
+  /* Random and not a counter, because a node stores nothing across restarts. */
   while (number == 0)
     apr_generate_random_bytes ((unsigned char *)&number, sizeof number);
   return number;
@@ -239,7 +243,7 @@
   return node->operators != NULL;
 }
 
-/* The listeners that only some deployments have. */
+/* Creates the listeners that only some deployments configure. */
 static gboolean
 create_optional_listeners (Node *node, GError **error)
 {
@@ -261,7 +265,7 @@
   return node->readiness != NULL;
 }
 
-/* What reaches out to the platform by itself. */
+/* Starts the parts that call the platform on their own. */
 static void
 start_platform (Node *node)
 {
@@ -273,7 +277,7 @@
     node->halls = node->adapter->halls_create (node);
 }
 
-/* Nobody got an answer meanwhile. */
+/* Counts and logs a long turn of the loop, because no request was served during it. */
 static void
 on_long_turn (const LoopTurn *turn, gpointer data)
 {
@@ -341,7 +345,7 @@
   Node *node = &run->node;
 
   loop_set_turn_func (node->loop, NULL, NULL);
-  /* What calls back goes first, then what would be called. */
+  /* Parts that run callbacks are destroyed before the parts that the callbacks use. */
   worker_destroy (node->worker);
   if (node->adapter->discovery_destroy)
     node->adapter->discovery_destroy (node->discovery);
@@ -352,7 +356,7 @@
   operators_destroy (node->operators);
   rpc_server_destroy (run->rpc);
   peers_destroy (node->peers);
-  /* Calls that end with their peers may still ask the platform. */
+  /* Calls that end when their peers are destroyed may still call the platform. */
   http_client_destroy (node->http);
   path_probes_destroy (node->paths);
   gossip_destroy (node->gossip);
--- a/daemon/src/node/node.h
+++ b/daemon/src/node/node.h
@@ -1,5 +1,5 @@
 /*
- * What the parts of one node share. Each part is opaque and has its own header.
+ * The state shared by the parts of a node. Each part is opaque and has its own header.
  */
 #ifndef DAEMON_NODE_H
 #define DAEMON_NODE_H
@@ -39,10 +39,10 @@
 {
   const Settings *settings;
   const struct Adapter *adapter;
-  ServiceDefaults defaults; /* the settings', of the last reload */
+  ServiceDefaults defaults; /* from the settings as last reloaded */
   Clock *clock;
   Loop *loop;
-  Worker *worker; /* for what would hold the loop up */
+  Worker *worker; /* runs jobs that would block the loop */
   GRand *rand;
   guint64 incarnation; /* random, new with each start */
   gint64 started_us;
@@ -52,7 +52,7 @@
   Events *events;
   HttpClient *http;
   Members *members;
-  FleetList *list; /* what the platform says of the fleet */
+  FleetList *list; /* the platform's list of the fleet's nodes */
   Balancer *balancer;
   Peers *peers;
   PathProbes *paths;
@@ -67,10 +67,10 @@
   Operators *operators;
   VmList *vm_list;                   /* NULL where the platform keeps no such list */
   Registry *registry;                /* NULL where targets do not register themselves */
-  MetricsListener *metrics_listener; /* likewise */
+  MetricsListener *metrics_listener; /* NULL for no such listener */
   Readiness *readiness;              /* NULL for no such listener */
-  gpointer discovery;                /* the adapter's own; NULL for none */
-  gpointer halls;                    /* likewise */
+  gpointer discovery;                /* the adapter's; NULL for none */
+  gpointer halls;                    /* the adapter's; NULL for none */
   gboolean stopping;
 } Node;
 
