--- a/daemon/src/operator/events.h
+++ b/daemon/src/operator/events.h
@@ -1,5 +1,5 @@
 /*
- * The last events of a node, for operators who ask afterwards.
+ * The most recent events of a node, kept for operators.
  */
 #ifndef DAEMON_EVENTS_H
 #define DAEMON_EVENTS_H
@@ -12,11 +12,12 @@
 Events *events_create (Clock *clock);
 void events_destroy (Events *events);
 
-/* Notes and logs one event about `subject` (a target, a node, a plan). */
+/* Records and logs an event about `subject` (a target, a node, a plan); `detail` may be
+   NULL. */
 void
 events_add (Events *events, const char *kind, const char *subject, const char *detail);
 
-/* Appends them as an array, oldest first. */
+/* Writes the events as an array, oldest first. */
 void events_write (const Events *events, JsonBuilder *builder);
 
 #endif
--- a/daemon/src/operator/log.c
+++ b/daemon/src/operator/log.c
@@ -6,13 +6,13 @@
 #include <unistd.h>
 
 #define FIELDS_MAX 24u
-/* A line up to the size that a pipe takes whole (PIPE_BUF) is never written in parts. */
+/* Keeps a line below PIPE_BUF, up to which a write to a pipe is never partial. */
 #define LINE_BYTES_MAX 4000u
-/* Lines of one kind in one second; a node at its share of the users' full load (175
-   requests a second) leaves a part of its successes out, and says how many. */
+/* Limit for one kind of event. A node at its share of the users' full load (175 requests
+   a second) omits some of its successes, and logs their number. */
 #define LINES_PER_SECOND 100u
 
-/* How many lines of one kind have been written in the present second. */
+/* Lines of one kind of event in the current second. */
 typedef struct
 {
   gint64 second;
@@ -24,7 +24,7 @@
 static GLogLevelFlags level_max = G_LOG_LEVEL_INFO;
 static Clock *log_clock;
 static GHashTable *budgets; /* kind of event → Budget */
-static guint64 dropped;     /* lines that the reader was too slow for */
+static guint64 dropped;     /* lines lost because the reader was too slow */
 
 static const char *
 level_name (GLogLevelFlags level)
@@ -69,7 +69,7 @@
   append_quoted (line, value, len);
 }
 
-/* GLib's own fields that say nothing here, or are said otherwise. */
+/* GLib's own fields, which are of no use here or are written under another name. */
 static gboolean
 is_plumbing (const char *key)
 {
@@ -77,7 +77,7 @@
          strcmp (key, "GLIB_DOMAIN") == 0;
 }
 
-/* Never waits for a reader: a line that would block is dropped and counted. */
+/* Never waits for the reader: drops and counts a line whose write would block. */
 static void
 put_line (GString *line)
 {
@@ -139,7 +139,7 @@
   g_log_set_writer_func (write_line, NULL, NULL);
 }
 
-/* Appends the pairs of a log_event to its fields; returns how many there are then. */
+/* Appends the pairs of a log_event to its fields; returns the new number of fields. */
 static gsize
 take_pairs (GLogField *fields, gsize count, va_list args)
 {
@@ -181,7 +181,8 @@
   g_log_structured_array (level, fields, G_N_ELEMENTS (fields));
 }
 
-/* Whether one more line of the kind may be written now; says what was left out before. */
+/* Whether one more line of this kind may be written now. At the start of a new second,
+   logs how many were omitted before. */
 static gboolean
 take_from_budget (GLogLevelFlags level, const char *event)
 {
--- a/daemon/src/operator/log.h
+++ b/daemon/src/operator/log.h
@@ -1,5 +1,5 @@
 /*
- * Structured logs: GLib's, written as one JSON object a line on standard output.
+ * Structured logging through GLib, written to standard output as one JSON object a line.
  */
 #ifndef DAEMON_LOG_H
 #define DAEMON_LOG_H
@@ -7,19 +7,19 @@
 #include <core/clock.h>
 #include <core/settings.h>
 
-/* Sends all of GLib's logging through the writer. `node` stands in each line; the
-   borrowed clock paces what is bounded by the second. */
+/* Installs the writer for all logging through GLib. Each line carries the name `node`;
+   the clock is borrowed, and times the limit of lines a second. */
 void log_init (const char *node, LogThreshold threshold, Clock *clock);
 
-/* Changes the threshold. */
 void log_set_threshold (LogThreshold threshold);
 
 /*
- * One event with text fields: pairs of a name and a value, ended by NULL. A NULL value
- * leaves its pair out.
+ * Logs an event with text fields, given as pairs of a name and a value and ended by NULL.
+ * A pair whose value is NULL is left out.
  *
- * Lines of one kind are bounded per second, so that failures are never lost behind
- * successes; what was left out is counted in a line "log-omitted". Never blocks.
+ * The lines of each kind of event are limited per second, so that failures are not lost
+ * among successes. A line "log-omitted" gives the number of lines left out, before the
+ * next line of that kind. Never blocks.
  */
 void log_event (GLogLevelFlags level, const char *event, ...) G_GNUC_NULL_TERMINATED;
 
--- a/daemon/src/operator/metrics-listener.h
+++ b/daemon/src/operator/metrics-listener.h
@@ -1,6 +1,6 @@
 /*
- * GET /metrics without a token, on an address of its own: for a network where whoever
- * reaches it may read counters.
+ * Serves GET /metrics without a token on a separate address, for networks where everyone
+ * who can connect may read the counters.
  */
 #ifndef DAEMON_METRICS_LISTENER_H
 #define DAEMON_METRICS_LISTENER_H
--- a/daemon/src/operator/metrics.c
+++ b/daemon/src/operator/metrics.c
@@ -54,7 +54,7 @@
   "switchmill_loop_longest_turn_cpu_microseconds",
 };
 
-/* Upper bounds of the exposed buckets, in microseconds. */
+/* Upper bounds of the histogram buckets in the metrics. */
 static const gint64 bounds_us[] = { 500,     1000,    2000,    5000,    10000,
                                     25000,   50000,   100000,  250000,  500000,
                                     1000000, 2500000, 5000000, 30000000 };
--- a/daemon/src/operator/metrics.h
+++ b/daemon/src/operator/metrics.h
@@ -1,5 +1,5 @@
 /*
- * The node's own counters, and a histogram for each tenant and class.
+ * The node's counters, and a latency histogram for each tenant and class of requests.
  */
 #ifndef DAEMON_METRICS_H
 #define DAEMON_METRICS_H
@@ -23,29 +23,29 @@
   METRIC_SIDECAR_REFUSED,
   METRIC_SIDECAR_FAILED,
   METRIC_TARGET_REFUSED,
-  METRIC_TARGETS_ENDED,      /* without a word, under work */
-  METRIC_ENDED_REQUESTS,     /* at work there */
-  METRIC_QUARANTINED,        /* requests that were found to end targets */
-  METRIC_QUARANTINE_REFUSED, /* and were not sent on */
+  METRIC_TARGETS_ENDED,      /* crashes, with requests running */
+  METRIC_ENDED_REQUESTS,     /* requests that ran there */
+  METRIC_QUARANTINED,        /* requests put in quarantine for crashing targets */
+  METRIC_QUARANTINE_REFUSED, /* requests not sent because of it */
   METRIC_QUARANTINE_TRIALS,
-  METRIC_QUARANTINE_NEWS, /* messages that brought some */
+  METRIC_QUARANTINE_NEWS, /* messages that brought new entries */
   METRIC_RPC_DENIED,
   METRIC_ALLOWANCE_QUESTIONS,
   METRIC_ALLOWANCE_REFUSED,
-  METRIC_CALLERS_REFUSED, /* for their access keys */
-  METRIC_CALLERS_LET_GO,  /* who took nothing of their answers */
-  METRIC_CALLERS_NO_ROOM, /* refused, for what is held for others */
+  METRIC_CALLERS_REFUSED, /* because of their access keys */
+  METRIC_CALLERS_LET_GO,  /* closed for not reading their answers */
+  METRIC_CALLERS_NO_ROOM, /* refused, because the memory for requests is used up */
   METRIC_CONFIG_APPLIED,
   METRIC_CONFIG_GENERATION,
-  METRIC_HALLS_EVACUATED, /* now */
-  METRIC_COLD_REFUSED,    /* for what a cold target bears */
+  METRIC_HALLS_EVACUATED, /* current number */
+  METRIC_COLD_REFUSED,    /* because a cold target is at its limit */
   METRIC_PLATFORM_CALLS,
   METRIC_STORE_ERA,
-  METRIC_STORE_PUT_BACK, /* what a store from an older copy had lost */
+  METRIC_STORE_PUT_BACK, /* records written again that a restored store had lost */
   METRIC_GOSSIP_SENT_BYTES,
   METRIC_GOSSIP_RECEIVED_BYTES,
   METRIC_LONG_TURNS,
-  METRIC_LONGEST_TURN_US, /* of processor time, among the long ones */
+  METRIC_LONGEST_TURN_US, /* of the long turns, in processor time */
   METRIC_COUNT
 } Metric;
 
@@ -54,18 +54,18 @@
 
 void metrics_add (Metrics *metrics, Metric metric, guint64 by);
 void metrics_set (Metrics *metrics, Metric metric, guint64 value);
-/* Sets it where the value is higher than what stands there. */
+/* Raises a metric to `value`, unless it is higher already. */
 void metrics_raise (Metrics *metrics, Metric metric, guint64 value);
 guint64 metrics_get (const Metrics *metrics, Metric metric);
 
-/* Notes a caller's request: how it came out, and how long it took. */
+/* Records the outcome and the duration of a caller's request. */
 void metrics_request (Metrics *metrics,
                       const char *tenant,
                       const char *class,
                       Outcome outcome,
                       gint64 took_us);
 
-/* All of it, in the usual text exposition. */
+/* All metrics in the Prometheus text format; the caller frees them. */
 GString *metrics_text (const Metrics *metrics);
 
 #endif
--- a/daemon/src/operator/operators.c
+++ b/daemon/src/operator/operators.c
@@ -69,7 +69,7 @@
   answer_object (request, status, builder);
 }
 
-/* A target counts as healthy unless this node knows that it is sick or gone. */
+/* A target counts as healthy unless this node knows that it is sick or not alive. */
 static gboolean
 is_healthy (const char *service_name, const char *name, gpointer data)
 {
@@ -139,13 +139,13 @@
                   confirmation->plan, confirmation->operator_name);
       break;
     case CONFIRM_STALE:
-      answer_error (request, HTTP_CONFLICT, "another change came first",
-                    "nothing was changed; plan again");
+      answer_error (request, HTTP_CONFLICT,
+                    "the configuration has changed since the plan was made",
+                    "nothing was changed; make a new plan");
       break;
     default:
-      answer_error (
-          request, HTTP_UNAVAILABLE, "the platform does not answer",
-          "the plan may have been accepted; confirm it again, which is harmless");
+      answer_error (request, HTTP_UNAVAILABLE, "the platform does not answer",
+                    "the plan may have been accepted; it is safe to confirm it again");
       break;
     }
   http_request_unref (request);
@@ -154,7 +154,7 @@
   g_free (confirmation);
 }
 
-/* What a confirmation says besides its intent. */
+/* The members of a confirmation's body. */
 typedef struct
 {
   char *intent;
@@ -190,7 +190,7 @@
   Confirmation *confirmation;
   Plan *plan;
 
-  /* A confirmation that comes again after it was accepted is answered as before. */
+  /* A confirmation repeated after it was accepted is answered as accepted again. */
   if (config_head_has_plan (head, words->id))
     {
       answer_accepted (request, words->id, head->generation);
@@ -203,8 +203,9 @@
       strcmp (plan_id (plan), words->id) != 0)
     {
       plan_destroy (plan);
-      answer_error (request, HTTP_CONFLICT, "the plan is not of this generation",
-                    "nothing was changed; plan again");
+      answer_error (request, HTTP_CONFLICT,
+                    "the plan does not match the current configuration",
+                    "nothing was changed; make a new plan");
       return;
     }
   if (plan_is_refused (plan) && !words->force)
@@ -212,7 +213,7 @@
       plan_destroy (plan);
       answer_error (request, HTTP_CONFLICT,
                     "the plan takes healthy capacity below a floor",
-                    "nothing was changed; change the plan, or force it");
+                    "nothing was changed; change the plan, or confirm it with force");
       return;
     }
   confirmation = g_new0 (Confirmation, 1);
@@ -248,7 +249,7 @@
   http_request_answer (request, HTTP_OK, headers, text, strlen (text));
 }
 
-/* Lets a request go that is held back, named by its digits: {"request": DIGITS}. */
+/* Releases a request from quarantine, named by its first digits: {"request": DIGITS}. */
 static void
 on_lift (Operators *operators, HttpRequest *request, const char *name)
 {
@@ -263,9 +264,9 @@
   if (json_faults_count (faults) > 0)
     answer_faults (request, "body", faults);
   else if (!quarantine_node_lift (operators->node->quarantine, digits))
-    answer_error (request, HTTP_NOT_FOUND,
-                  "no request, or not one alone, has these digits",
-                  "see 'switchmill quarantine'; a node learns of others' in a moment");
+    answer_error (
+        request, HTTP_NOT_FOUND, "no request, or more than one, matches these digits",
+        "see 'switchmill quarantine'; entries of other nodes arrive within moments");
   else
     {
       events_add (operators->node->events, "quarantine-lifted", digits, name);
@@ -294,7 +295,7 @@
   gboolean post = strcmp (http_request_method (request), "POST") == 0;
 
   if (!name)
-    answer_error (request, HTTP_UNAUTHORIZED, "no operator has this token",
+    answer_error (request, HTTP_UNAUTHORIZED, "the operator token is missing or unknown",
                   "send the header 'Authorization: Bearer TOKEN'");
   else if (post && strcmp (path, "/v1/plan") == 0)
     on_plan (operators, request);
@@ -313,8 +314,8 @@
   else if (get && strcmp (path, "/metrics") == 0)
     on_metrics (operators, request);
   else
-    answer_error (request, HTTP_NOT_FOUND, "there is nothing here",
-                  "see the page for operators");
+    answer_error (request, HTTP_NOT_FOUND, "there is no such endpoint",
+                  "see the documentation for operators");
 }
 
 Operators *
--- a/daemon/src/operator/readiness.c
+++ b/daemon/src/operator/readiness.c
@@ -18,8 +18,8 @@
 };
 
 /*
- * A node whose target leaves is stopped soon after. Callers that go elsewhere by then
- * have no work there that hangs until the stop cuts it.
+ * A node is stopped soon after its target has begun to leave. Callers that use another
+ * node from then on have no requests here that hang until the stop aborts them.
  */
 static gboolean
 is_ready (const Node *node)
--- a/daemon/src/operator/readiness.h
+++ b/daemon/src/operator/readiness.h
@@ -1,6 +1,6 @@
 /*
- * Whether callers should send work to this node: GET /ready answers 200 while it has a
- * configuration and does not stop, else 503.
+ * Tells load balancers whether to send work to this node: GET /ready answers 200 while
+ * the node has a configuration, is not stopping and its target is not leaving, else 503.
  */
 #ifndef DAEMON_READINESS_H
 #define DAEMON_READINESS_H
--- a/daemon/src/operator/status.c
+++ b/daemon/src/operator/status.c
@@ -8,7 +8,7 @@
 #include "quarantine-node.h"
 #include "sidecar.h"
 
-/* One word for how a target stands, as this ingress sees it. */
+/* This node's verdict on a target, in one word. */
 static const char *
 verdict_of (const Target *target, const TargetStatus *status)
 {
@@ -106,7 +106,7 @@
   http_request_answer_json (request, HTTP_OK, text);
 }
 
-/* Data halls that take nothing for now, by the platform's word. */
+/* Data halls that the platform reports as evacuated, which receive no work. */
 static void
 write_halls (const Node *node, JsonBuilder *builder)
 {
@@ -181,7 +181,7 @@
   json_write_double (builder, "per_s", account->per_s);
   json_write_double (builder, "burst", account->burst);
   json_write_int (builder, "priority", account->priority);
-  /* Counting goes through all keys, a millisecond at full size. */
+  /* Counting scans all keys, which takes a millisecond at full size. */
   if (keys)
     json_write_int (
         builder, "keys",
--- a/daemon/src/operator/status.h
+++ b/daemon/src/operator/status.h
@@ -1,5 +1,6 @@
 /*
- * The node's view of itself, of targets and of members, as JSON for operators.
+ * Answers operators' queries with this node's view of itself, targets and members, in
+ * JSON.
  */
 #ifndef DAEMON_STATUS_H
 #define DAEMON_STATUS_H
@@ -10,14 +11,14 @@
 
 void status_answer (Node *node, HttpRequest *request);
 void status_answer_events (Node *node, HttpRequest *request);
-/* The accounts that are busy here, or the one that "id" names, with its number of keys.
- */
+/* The accounts that are counted here by name, or the one that the query argument "id"
+   names, with its number of keys. */
 void status_answer_accounts (Node *node, HttpRequest *request);
 
-/* The requests that targets have ended under. */
+/* The quarantine's entries: requests that were running when targets crashed. */
 void status_answer_quarantine (Node *node, HttpRequest *request);
 
-/* All counters of the node in the usual text exposition; the caller frees it. */
+/* All metrics of the node in the Prometheus text format; the caller frees the text. */
 char *status_metrics_text (const Node *node);
 
 #endif
--- a/daemon/src/operator/traffic.c
+++ b/daemon/src/operator/traffic.c
@@ -2,13 +2,13 @@
 
 #include "log.h"
 
-/* Often enough to tell a bad minute from the others, and one line of the log. */
+/* One log line a minute is enough to tell a bad minute from the others. */
 #define LOG_EVERY_US (60 * SECOND_US)
 #define HALLS 2u
 
 struct Traffic
 {
-  guint64 sent[HALLS][TRAFFIC_COUNT]; /* [0] within the hall, [1] to others */
+  guint64 sent[HALLS][TRAFFIC_COUNT]; /* [0] within this hall, [1] to other halls */
   LoopTimer *timer;
 };
 
--- a/daemon/src/operator/traffic.h
+++ b/daemon/src/operator/traffic.h
@@ -1,7 +1,7 @@
 /*
- * Bytes that this node has sent to other nodes, by what they were for and by whether they
- * left its data hall: links between halls are the dear ones. Each byte is counted once,
- * by its sender; headers of TCP, UDP and IP are not.
+ * Counts the bytes that this node sends to other nodes, by purpose and by whether they
+ * leave its data hall, because links between halls are expensive. Each byte is counted
+ * once, by its sender; headers of TCP, UDP and IP are not counted.
  */
 #ifndef DAEMON_TRAFFIC_H
 #define DAEMON_TRAFFIC_H
@@ -13,33 +13,33 @@
 
 typedef enum
 {
-  TRAFFIC_PROBES,     /* probes of members and their answers, without the news on them */
-  TRAFFIC_RUMOURS,    /* news of members, and what they say of their targets */
-  TRAFFIC_VIEWS,      /* comparisons of whole views */
-  TRAFFIC_SESSIONS,   /* openings of connections, and pings on them */
+  TRAFFIC_PROBES,     /* membership probes and answers, without the updates on them */
+  TRAFFIC_RUMOURS,    /* updates on members, their targets and the quarantine */
+  TRAFFIC_VIEWS,      /* comparisons of membership views */
+  TRAFFIC_SESSIONS,   /* connection handshakes, and pings */
   TRAFFIC_CONFIG,     /* heads and parts of the configuration */
-  TRAFFIC_REQUESTS,   /* requests on their way to a sidecar that took them */
-  TRAFFIC_REFUSED,    /* and to one that did not */
+  TRAFFIC_REQUESTS,   /* requests to a sidecar that accepted them */
+  TRAFFIC_REFUSED,    /* requests to a sidecar that refused them */
   TRAFFIC_ANSWERS,    /* a sidecar's answers, refusals included */
-  TRAFFIC_CONTROL,    /* questions about attempts, and cancellations */
-  TRAFFIC_ALLOWANCES, /* of client accounts: questions and answers */
+  TRAFFIC_CONTROL,    /* queries on attempts, cancellations, notices of leaving VMs */
+  TRAFFIC_ALLOWANCES, /* lending calls for client accounts, and their answers */
   TRAFFIC_COUNT
 } TrafficKind;
 
-/* Logs its counts by itself, each minute; `loop` is borrowed. */
+/* Logs the counts every minute; `loop` is borrowed. */
 Traffic *traffic_create (Loop *loop);
 void traffic_destroy (Traffic *traffic);
 
 void traffic_add (Traffic *traffic, TrafficKind kind, gboolean own_hall, gsize bytes);
 
-/* Counts what was sent as one kind as another, once it is known to be that. */
+/* Moves bytes counted before to another kind, once their kind is known. */
 void traffic_recount (
     Traffic *traffic, TrafficKind from, TrafficKind to, gboolean own_hall, gsize bytes);
 
-/* Writes the counts to the log now. */
+/* Logs the counts. */
 void traffic_log (const Traffic *traffic);
 
-/* Appends the counts in the usual text exposition. */
+/* Appends the counts in the Prometheus text format. */
 void traffic_append (const Traffic *traffic, GString *text);
 
 #endif
