--- a/daemon/src/config/config-fetch.c
+++ b/daemon/src/config/config-fetch.c
@@ -7,7 +7,7 @@
 
 /* Parts fetched concurrently. While 79 nodes loaded 4,200 routes, 43 of 1,143 requests
    were late with eight fetches at a time, and 75 with all at once (means of two runs). */
-#define FETCHES_AT_ONCE 8u
+#define FETCHES_MAX 8u
 /* A part that another node has not delivered by then is fetched from the platform: a
    change has to be in force within 2.5 s even if the first node asked is stalled. */
 #define PART_TIMEOUT_US (1 * SECOND_US)
@@ -34,7 +34,7 @@
 static void fetch_from_platform (Fetch *fetch);
 
 void
-config_fetch_drop (ConfigSync *sync)
+config_fetch_reset (ConfigSync *sync)
 {
   g_clear_pointer (&sync->wanted, config_head_destroy);
   g_clear_pointer (&sync->wanted_text, g_free);
@@ -54,7 +54,7 @@
 }
 
 static void
-free_fetch (gpointer job)
+fetch_free (gpointer job)
 {
   Fetch *fetch = job;
 
@@ -73,7 +73,7 @@
   ConfigSync *sync = fetch->sync;
 
   sync->fetching--;
-  free_fetch (fetch);
+  fetch_free (fetch);
   fetch_more (sync);
 }
 
@@ -128,12 +128,12 @@
 /* Parses a part on the worker thread. A change of all parts of 4,200 routes takes 36 ms
    of processor time, which is most of a second at a tenth of a core. */
 static void
-parse_beside_loop (Fetch *fetch, GBytes *bytes, gboolean packed)
+parse_on_worker (Fetch *fetch, GBytes *bytes, gboolean packed)
 {
   fetch->bytes = g_bytes_ref (bytes);
   fetch->packed = packed;
   fetch->faults = json_faults_create ();
-  worker_add (fetch->sync->node->worker, fetch, parse_part, free_fetch, on_parsed, NULL);
+  worker_add (fetch->sync->node->worker, fetch, parse_part, fetch_free, on_parsed, NULL);
 }
 
 static void
@@ -142,7 +142,7 @@
   Fetch *fetch = data;
 
   if (text)
-    parse_beside_loop (fetch, text, FALSE);
+    parse_on_worker (fetch, text, FALSE);
   else
     fetch_failed (fetch);
 }
@@ -165,7 +165,7 @@
     {
       g_autoptr (GBytes) packed = g_bytes_new (res->part.part_val, res->part.part_len);
 
-      parse_beside_loop (fetch, packed, TRUE);
+      parse_on_worker (fetch, packed, TRUE);
       return;
     }
   if (outcome != RPC_OK)
@@ -299,7 +299,7 @@
     }
   keys = g_ptr_array_new ();
   g_hash_table_iter_init (&iter, missing);
-  while (g_hash_table_iter_next (&iter, &key, NULL) && keys->len < FETCHES_AT_ONCE)
+  while (g_hash_table_iter_next (&iter, &key, NULL) && keys->len < FETCHES_MAX)
     g_ptr_array_add (keys, key);
   for (guint i = 0; i < keys->len; i++)
     {
@@ -310,7 +310,10 @@
 }
 
 void
-config_fetch_want (ConfigSync *sync, const char *text, gsize len, const char *source)
+config_fetch_start_if_newer (ConfigSync *sync,
+                             const char *text,
+                             gsize len,
+                             const char *source)
 {
   JsonFaults *faults = json_faults_create ();
   ConfigHead *head = config_head_parse (text, (gssize)len, faults);
@@ -327,7 +330,7 @@
       config_head_destroy (head);
       return;
     }
-  config_fetch_drop (sync);
+  config_fetch_reset (sync);
   sync->wanted = head;
   sync->wanted_text = g_strndup (text, len);
   sync->source = source ? g_strdup (source) : choose_source (sync);
--- a/daemon/src/config/config-halls.c
+++ b/daemon/src/config/config-halls.c
@@ -12,10 +12,10 @@
 
 /* Adds an event for each hall in `from` that is not in `without`. */
 static void
-note_halls (ConfigSync *sync,
-            const char *event,
-            const GPtrArray *from,
-            const GPtrArray *without)
+add_hall_events (ConfigSync *sync,
+                 const char *event,
+                 const GPtrArray *from,
+                 const GPtrArray *without)
 {
   for (guint i = 0; i < from->len; i++)
     {
@@ -27,10 +27,10 @@
 }
 
 void
-config_sync_take_evacuations (ConfigSync *sync,
-                              guint64 era,
-                              guint64 revision,
-                              const GPtrArray *halls)
+config_sync_apply_evacuations (ConfigSync *sync,
+                               guint64 era,
+                               guint64 revision,
+                               const GPtrArray *halls)
 {
   /* This reference keeps the old array, which evacuations_update replaces. */
   g_autoptr (GPtrArray) before =
@@ -38,8 +38,9 @@
 
   if (!evacuations_update (sync->evacuations, era, revision, halls))
     return;
-  note_halls (sync, "hall-evacuated", evacuations_halls (sync->evacuations), before);
-  note_halls (sync, "hall-taken-back", before, evacuations_halls (sync->evacuations));
+  add_hall_events (sync, "hall-evacuated", evacuations_halls (sync->evacuations), before);
+  add_hall_events (sync, "hall-taken-back", before,
+                   evacuations_halls (sync->evacuations));
   metrics_set (sync->node->metrics, METRIC_HALLS_EVACUATED,
                evacuations_halls (sync->evacuations)->len);
   config_sync_compose (sync);
@@ -53,7 +54,7 @@
 }
 
 void
-config_sync_put_evacuations (const ConfigSync *sync, sw_evacuations *words)
+config_sync_fill_evacuations (const ConfigSync *sync, sw_evacuations *words)
 {
   const GPtrArray *halls = evacuations_halls (sync->evacuations);
 
@@ -66,18 +67,18 @@
 }
 
 void
-config_sync_drop_evacuations (sw_evacuations *words)
+config_sync_clear_evacuations (sw_evacuations *words)
 {
   g_free (words->halls.halls_val);
 }
 
 void
-config_sync_note_evacuations (ConfigSync *sync, const sw_evacuations *words)
+config_sync_merge_evacuations (ConfigSync *sync, const sw_evacuations *words)
 {
   g_autoptr (GPtrArray) halls = g_ptr_array_new ();
 
   for (guint i = 0; i < words->halls.halls_len; i++)
     if (names_valid (words->halls.halls_val[i]))
       g_ptr_array_add (halls, words->halls.halls_val[i]);
-  config_sync_take_evacuations (sync, words->era, words->revision, halls);
+  config_sync_apply_evacuations (sync, words->era, words->revision, halls);
 }
--- a/daemon/src/config/config-start.c
+++ b/daemon/src/config/config-start.c
@@ -7,14 +7,14 @@
 #define PEERS_TO_ASK 5u
 #define START_RETRY_US (500 * MS_US)
 /* After this time the answer of one peer is enough. */
-#define START_PATIENCE_US (10 * SECOND_US)
+#define START_WAIT_MAX_US (10 * SECOND_US)
 /* Maximum number of head requests in flight for announced generations. Many nodes
    announce a change at once, and several of them are asked because one may be gone. */
-#define NEWS_ASKED_MAX 4u
+#define ANNOUNCED_REQUESTS_MAX 4u
 /* Delay before a generation that was announced from another hall is requested there.
    Within it a node of the own hall announces it too, because each hall has nodes that
    watch the store. Traffic between halls is expensive. */
-#define FAR_PATIENCE_US (200 * MS_US)
+#define FAR_HEAD_DELAY_US (200 * MS_US)
 
 /* A head request to another node. */
 typedef struct
@@ -30,7 +30,7 @@
 
 /*
  * Without the platform a node may serve once all peers asked in one round have answered
- * or, START_PATIENCE_US after its start, once any of them has. Its configuration then
+ * or, START_WAIT_MAX_US after its start, once any of them has. Its configuration then
  * lacks at most changes that had reached none of the peers that answered.
  */
 static void
@@ -42,7 +42,7 @@
     return;
   if (snapshot_generation (sync->base) == 0 && !sync->kind->serves_empty)
     return;
-  if (sync->answered < sync->asked && age < START_PATIENCE_US)
+  if (sync->answered < sync->asked && age < START_WAIT_MAX_US)
     return;
   sync->ready = TRUE;
   events_add (sync->node->events, "config-ready", "peers",
@@ -53,7 +53,7 @@
 head_call_free (HeadCall *call)
 {
   if (call->round == 0)
-    call->sync->news_asked--;
+    call->sync->announced_requests--;
   g_free (call->vm);
   g_free (call);
 }
@@ -68,7 +68,8 @@
   if (outcome == RPC_OK)
     {
       if (res->head.head_len)
-        config_fetch_want (sync, res->head.head_val, res->head.head_len, call->vm);
+        config_fetch_start_if_newer (sync, res->head.head_val, res->head.head_len,
+                                     call->vm);
       if (call->round == sync->round)
         sync->answered++;
       check_start (sync);
@@ -91,7 +92,7 @@
 }
 
 static void
-ask_peer (ConfigSync *sync, const char *vm, guint round)
+request_head (ConfigSync *sync, const char *vm, guint round)
 {
   HeadCall *call = g_new0 (HeadCall, 1);
 
@@ -102,46 +103,46 @@
 }
 
 static gboolean
-is_news (const ConfigSync *sync, guint64 generation)
+is_newer_generation (const ConfigSync *sync, guint64 generation)
 {
   return generation > snapshot_generation (sync->snapshot) &&
          !(sync->wanted && generation <= sync->wanted->generation);
 }
 
 static void
-ask_for_news (ConfigSync *sync, const char *vm)
+request_announced_head (ConfigSync *sync, const char *vm)
 {
-  if (sync->news_asked >= NEWS_ASKED_MAX)
+  if (sync->announced_requests >= ANNOUNCED_REQUESTS_MAX)
     return;
-  sync->news_asked++;
-  ask_peer (sync, vm, 0);
+  sync->announced_requests++;
+  request_head (sync, vm, 0);
 }
 
 void
-config_far_news (gpointer data)
+config_request_far_head (gpointer data)
 {
   ConfigSync *sync = data;
   g_autofree char *vm = g_steal_pointer (&sync->far_source);
 
-  if (vm && is_news (sync, sync->far_generation))
-    ask_for_news (sync, vm);
+  if (vm && is_newer_generation (sync, sync->far_generation))
+    request_announced_head (sync, vm);
 }
 
 void
 config_sync_note_generation (ConfigSync *sync, const char *vm, guint64 generation)
 {
-  if (!is_news (sync, generation))
+  if (!is_newer_generation (sync, generation))
     return;
   if (peers_in_own_hall (sync->node, vm))
     {
-      ask_for_news (sync, vm);
+      request_announced_head (sync, vm);
       return;
     }
   if (sync->far_source && generation <= sync->far_generation)
     return;
   /* The first announcement starts the timer; the highest generation is requested. */
   if (!sync->far_source)
-    loop_timer_start (sync->far, FAR_PATIENCE_US);
+    loop_timer_start (sync->far, FAR_HEAD_DELAY_US);
   g_free (sync->far_source);
   sync->far_source = g_strdup (vm);
   sync->far_generation = generation;
@@ -172,6 +173,6 @@
       if (member == members_self (node->members) || !members_is_alive (member))
         continue;
       sync->asked++;
-      ask_peer (sync, member->node, sync->round);
+      request_head (sync, member->node, sync->round);
     }
 }
--- a/daemon/src/config/config-sync-private.h
+++ b/daemon/src/config/config-sync-private.h
@@ -40,9 +40,9 @@
   guint missing_before; /* number of missing parts before the last batch */
   /* The rounds of head requests at startup. */
   guint round;
-  guint asked;      /* requests of the present round */
-  guint answered;   /* answers in the present round */
-  guint news_asked; /* requests in flight for a head that gossip has announced */
+  guint asked;              /* requests of the present round */
+  guint answered;           /* answers in the present round */
+  guint announced_requests; /* requests in flight for a head that gossip has announced */
   /* A newer generation announced from another hall. Its head is requested after a delay,
      in which a node of the own hall may announce it. */
   LoopTimer *far;
@@ -62,15 +62,17 @@
 
 /* Parses a head, and starts to fetch its parts if its generation is higher than those of
    the snapshot and the wanted head. `source` is the node to fetch from, or NULL. */
-void
-config_fetch_want (ConfigSync *sync, const char *text, gsize len, const char *source);
+void config_fetch_start_if_newer (ConfigSync *sync,
+                                  const char *text,
+                                  gsize len,
+                                  const char *source);
 /* Forgets the wanted head. Parts that have been received are kept. */
-void config_fetch_drop (ConfigSync *sync);
+void config_fetch_reset (ConfigSync *sync);
 /* Timer function: fetches a batch of the parts that are still missing. */
 void config_fetch_batch (gpointer data);
 
 /* Timer function: requests the head from the other hall's node unless it is known now. */
-void config_far_news (gpointer data);
+void config_request_far_head (gpointer data);
 
 /* Timer function: queries the platform and a few nodes until this node may serve. */
 void config_start_round (gpointer data);
--- a/daemon/src/config/config-sync.c
+++ b/daemon/src/config/config-sync.c
@@ -7,7 +7,7 @@
 #include "sidecar.h"
 
 /* Interval at which a node that does not watch checks whether it has to. */
-#define WATCH_PAUSE_US (1 * SECOND_US)
+#define WATCHER_CHECK_INTERVAL_US (1 * SECOND_US)
 /* A starting node knows no other members and would rank itself as a watcher; after this
    time gossip has named the members of its hall. Changes made meanwhile are not missed,
    because the watch starts after the revision that the node has read. */
@@ -22,13 +22,13 @@
 #define WATCHERS_PER_HALL 2u
 #define WATCHERS_MIN 9u
 /* Backoff of failed watches: 125 ms, doubled up to one second. */
-#define WATCH_PAUSE_FIRST_US (125 * MS_US)
+#define WATCH_BACKOFF_FIRST_US (125 * MS_US)
 #define WATCH_DOUBLINGS_MAX 3u
 /* Every node polls the head at this interval, in case gossip has not reached it. */
-#define POLL_EVERY_US (60 * SECOND_US)
+#define POLL_INTERVAL_MIN_US (60 * SECOND_US)
 /* Minimum mean interval between the polls of all nodes together, so that the load on the
    store does not grow with the fleet. */
-#define POLL_OF_FLEET_US (500 * MS_US)
+#define FLEET_POLL_INTERVAL_US (500 * MS_US)
 
 Snapshot *
 config_sync_snapshot (const ConfigSync *sync)
@@ -98,7 +98,7 @@
   g_free (sync->head_text);
   sync->head_text = g_steal_pointer (&sync->wanted_text);
   g_hash_table_remove_all (sync->parts);
-  config_fetch_drop (sync);
+  config_fetch_reset (sync);
   sync->ready = TRUE;
   sync->applied_us = clock_now (node->clock);
   config_sync_compose (sync);
@@ -122,7 +122,7 @@
 }
 
 static void
-take_reading (ConfigSync *sync, const ConfigReading *reading)
+apply_reading (ConfigSync *sync, const ConfigReading *reading)
 {
   for (guint i = 0; reading->parts && i < reading->parts->len; i++)
     {
@@ -132,7 +132,7 @@
                            config_part_ref (part));
     }
   if (reading->outcome == CONFIG_READ_HEAD)
-    config_fetch_want (sync, reading->head, reading->head_len, NULL);
+    config_fetch_start_if_newer (sync, reading->head, reading->head_len, NULL);
   if (!sync->wanted)
     g_hash_table_remove_all (sync->parts);
   /* From here on a watch reports changes sooner than the next poll would. */
@@ -150,7 +150,7 @@
   ConfigSync *sync = data;
 
   sync->polling = FALSE;
-  take_reading (sync, reading);
+  apply_reading (sync, reading);
 }
 
 void
@@ -164,10 +164,10 @@
 
 /* Returns the mean interval between a node's polls for the fleet size that it knows. */
 static gint64
-poll_every_us (const ConfigSync *sync)
+poll_interval_us (const ConfigSync *sync)
 {
-  return MAX (POLL_EVERY_US,
-              POLL_OF_FLEET_US * (gint64)members_count_alive (sync->node->members));
+  return MAX (POLL_INTERVAL_MIN_US,
+              FLEET_POLL_INTERVAL_US * (gint64)members_count_alive (sync->node->members));
 }
 
 /* The first delay is jittered too: 79 nodes that had started together read 400 KB each in
@@ -177,7 +177,7 @@
 {
   double jitter = g_rand_double_range (sync->node->rand, 0.5, 1.5);
 
-  loop_timer_start (sync->poll, (gint64)((double)poll_every_us (sync) * jitter));
+  loop_timer_start (sync->poll, (gint64)((double)poll_interval_us (sync) * jitter));
 }
 
 /* Skips the poll if the delay was drawn while few other nodes were known, and draws a new
@@ -187,7 +187,7 @@
 {
   ConfigSync *sync = data;
   gint64 now = clock_now (sync->node->clock);
-  gboolean due = now - sync->polled_us >= poll_every_us (sync) / 2;
+  gboolean due = now - sync->polled_us >= poll_interval_us (sync) / 2;
 
   start_poll_timer (sync);
   if (!due)
@@ -218,14 +218,14 @@
 }
 
 gint64
-config_sync_watch_pause_us (const ConfigSync *sync, guint failures)
+config_sync_watch_backoff_us (const ConfigSync *sync, guint failures)
 {
   double jitter = g_rand_double_range (sync->node->rand, 0.5, 1.5);
   gint64 pause;
 
   if (failures == 0)
     return 0;
-  pause = WATCH_PAUSE_FIRST_US << MIN (failures - 1, WATCH_DOUBLINGS_MAX);
+  pause = WATCH_BACKOFF_FIRST_US << MIN (failures - 1, WATCH_DOUBLINGS_MAX);
   return (gint64)((double)pause * jitter);
 }
 
@@ -239,9 +239,10 @@
       reading->outcome == CONFIG_READ_FAILED || reading->outcome == CONFIG_READ_NONE;
 
   sync->watching = FALSE;
-  take_reading (sync, reading);
+  apply_reading (sync, reading);
   sync->watch_failures = failed ? sync->watch_failures + 1 : 0;
-  loop_timer_start (sync->watch, config_sync_watch_pause_us (sync, sync->watch_failures));
+  loop_timer_start (sync->watch,
+                    config_sync_watch_backoff_us (sync, sync->watch_failures));
 }
 
 static void
@@ -251,7 +252,7 @@
 
   if (!config_sync_is_watcher (sync))
     {
-      loop_timer_start (sync->watch, WATCH_PAUSE_US);
+      loop_timer_start (sync->watch, WATCHER_CHECK_INTERVAL_US);
       return;
     }
   if (sync->watching)
@@ -278,7 +279,7 @@
                                        (GDestroyNotify)config_part_unref);
   sync->poll = loop_timer_create (node->loop, on_poll_timer, sync);
   sync->watch = loop_timer_create (node->loop, on_watch_timer, sync);
-  sync->far = loop_timer_create (node->loop, config_far_news, sync);
+  sync->far = loop_timer_create (node->loop, config_request_far_head, sync);
   sync->start = loop_timer_create (node->loop, config_start_round, sync);
   sync->fetch = loop_timer_create (node->loop, config_fetch_batch, sync);
   sync->compose = loop_timer_create (node->loop, on_compose, sync);
@@ -300,7 +301,7 @@
   g_free (sync->far_source);
   loop_timer_destroy (sync->fetch);
   loop_timer_destroy (sync->compose);
-  config_fetch_drop (sync);
+  config_fetch_reset (sync);
   g_hash_table_unref (sync->parts);
   snapshot_unref (sync->snapshot);
   snapshot_unref (sync->base);
--- a/daemon/src/config/config-sync.h
+++ b/daemon/src/config/config-sync.h
@@ -51,24 +51,24 @@
 /* Returns the delay in microseconds before a watch is repeated after `failures` failures
    in a row. The first retry comes soon, because changes may have been missed; the delay
    grows to about a second for a store that remains unreachable. */
-gint64 config_sync_watch_pause_us (const ConfigSync *sync, guint failures);
+gint64 config_sync_watch_backoff_us (const ConfigSync *sync, guint failures);
 
 /*
  * Applies the set of evacuated halls (char *) as the store had it at `era` and `revision`
  * (core/evacuations.h). A change is in force at once and is gossiped.
  */
-void config_sync_take_evacuations (ConfigSync *sync,
-                                   guint64 era,
-                                   guint64 revision,
-                                   const GPtrArray *halls);
+void config_sync_apply_evacuations (ConfigSync *sync,
+                                    guint64 era,
+                                    guint64 revision,
+                                    const GPtrArray *halls);
 /* Returns the newest known set of evacuated halls. */
 const Evacuations *config_sync_evacuations (const ConfigSync *sync);
 /* Fills the evacuations of a message. The hall names are borrowed from the sync until
-   control returns to the loop; config_sync_drop_evacuations frees the array. */
-void config_sync_put_evacuations (const ConfigSync *sync, sw_evacuations *words);
-void config_sync_drop_evacuations (sw_evacuations *words);
+   control returns to the loop; config_sync_clear_evacuations frees the array. */
+void config_sync_fill_evacuations (const ConfigSync *sync, sw_evacuations *words);
+void config_sync_clear_evacuations (sw_evacuations *words);
 /* Applies the evacuations of a received message; invalid hall names are skipped. */
-void config_sync_note_evacuations (ConfigSync *sync, const sw_evacuations *words);
+void config_sync_merge_evacuations (ConfigSync *sync, const sw_evacuations *words);
 
 /* Fill the answers to SW_HEAD and SW_PART calls of other nodes; the results borrow their
    data from the sync. */
--- a/daemon/src/config/confirm.c
+++ b/daemon/src/config/confirm.c
@@ -93,7 +93,7 @@
    confirmation if the head names the plan or is of another generation than the plan's
    base, else writes the parts. */
 static void
-judge_head (Confirm *confirm, const ConfigHead *head, const char *version)
+check_head (Confirm *confirm, const ConfigHead *head, const char *version)
 {
   guint64 generation = head ? head->generation : 0;
 
@@ -121,7 +121,7 @@
 
   if (result->outcome == PLATFORM_MISSING)
     {
-      judge_head (confirm, NULL, "");
+      check_head (confirm, NULL, "");
       return;
     }
   if (result->outcome != PLATFORM_OK)
@@ -133,7 +133,7 @@
   head = config_head_parse ((const char *)result->body->data, result->body->len, faults);
   json_faults_destroy (faults);
   if (head)
-    judge_head (confirm, head, result->version);
+    check_head (confirm, head, result->version);
   else
     finish (confirm, CONFIRM_UNKNOWN);
   config_head_destroy (head);
--- a/daemon/src/config/platform-era.c
+++ b/daemon/src/config/platform-era.c
@@ -6,8 +6,8 @@
 {
   Node *node;
   guint64 era;
-  gint64 risen_us;
-  PlatformEraFunc risen;
+  gint64 restored_us;
+  PlatformEraFunc restored_func;
   gpointer data;
 };
 
@@ -39,11 +39,11 @@
   metrics_set (era->node->metrics, METRIC_STORE_ERA, seen);
   if (!known)
     return;
-  era->risen_us = clock_now (era->node->clock);
+  era->restored_us = clock_now (era->node->clock);
   events_add (era->node->events, "store-restored", to, from);
   gossip_push (era->node->gossip);
-  if (era->risen)
-    era->risen (era->data);
+  if (era->restored_func)
+    era->restored_func (era->data);
 }
 
 guint64
@@ -53,14 +53,14 @@
 }
 
 gint64
-platform_era_risen_us (const PlatformEra *era)
+platform_era_restored_us (const PlatformEra *era)
 {
-  return era->risen_us;
+  return era->restored_us;
 }
 
 void
-platform_era_set_risen (PlatformEra *era, PlatformEraFunc func, gpointer data)
+platform_era_set_restored_func (PlatformEra *era, PlatformEraFunc func, gpointer data)
 {
-  era->risen = func;
+  era->restored_func = func;
   era->data = data;
 }
--- a/daemon/src/config/platform-era.h
+++ b/daemon/src/config/platform-era.h
@@ -18,11 +18,12 @@
 guint64 platform_era_get (const PlatformEra *era);
 
 /* Returns when the era last rose above a known one, on the node's clock; 0 for never. */
-gint64 platform_era_risen_us (const PlatformEra *era);
+gint64 platform_era_restored_us (const PlatformEra *era);
 
 /* Called each time the era rises above a known one. */
 typedef void (*PlatformEraFunc) (gpointer data);
 /* Sets the only callback; NULL removes it. */
-void platform_era_set_risen (PlatformEra *era, PlatformEraFunc func, gpointer data);
+void
+platform_era_set_restored_func (PlatformEra *era, PlatformEraFunc func, gpointer data);
 
 #endif
--- a/daemon/src/member/calls.c
+++ b/daemon/src/member/calls.c
@@ -11,7 +11,7 @@
 /* Merges a caller's entry into the membership, and returns whether the member is alive in
    that incarnation. */
 static gboolean
-is_member (Node *node, const sw_rumour *from)
+admit_caller (Node *node, const sw_rumour *from)
 {
   const Member *member;
 
@@ -43,7 +43,7 @@
 
   if (!xdr_sw_hello_args (in, &args) ||
       !settings_secret_equal (args.token, node->settings->fleet_token) ||
-      !is_member (node, &args.from))
+      !admit_caller (node, &args.from))
     {
       metrics_add (node->metrics, METRIC_RPC_DENIED, 1);
       log_event (G_LOG_LEVEL_WARNING, "peer-denied", "SUBJECT",
--- a/daemon/src/member/fleet-list.c
+++ b/daemon/src/member/fleet-list.c
@@ -57,7 +57,7 @@
 }
 
 void
-fleet_list_read (FleetList *list)
+fleet_list_note_read (FleetList *list)
 {
   list->is_read = TRUE;
 }
--- a/daemon/src/member/fleet-list.h
+++ b/daemon/src/member/fleet-list.h
@@ -25,7 +25,7 @@
 fleet_list_add (FleetList *list, const char *node, const char *hall, const char *address);
 
 /* Notes that the platform's list has been read completely. */
-void fleet_list_read (FleetList *list);
+void fleet_list_note_read (FleetList *list);
 gboolean fleet_list_is_read (const FleetList *list);
 
 /* Returns NULL if the node is not listed. */
--- a/daemon/src/member/gossip-news.c
+++ b/daemon/src/member/gossip-news.c
@@ -11,7 +11,7 @@
 #define NEWS_BYTES_MAX 550u
 
 void
-gossip_put_news (Node *node, const char *to, sw_gossip *message)
+gossip_fill_news (Node *node, const char *to, sw_gossip *message)
 {
   const GArray *news = members_news (node->members, to, NEWS_BYTES_MAX);
   guint count = MIN (news->len, SW_RUMOURS_MAX);
@@ -32,14 +32,14 @@
 }
 
 void
-gossip_drop_news (sw_gossip *message)
+gossip_clear_news (sw_gossip *message)
 {
   g_free (message->rumours.rumours_val);
   g_free (message->briefs.briefs_val);
 }
 
 gboolean
-gossip_take_news (Node *node, const sw_gossip *message)
+gossip_merge_news (Node *node, const sw_gossip *message)
 {
   gboolean any = FALSE;
 
@@ -52,7 +52,9 @@
 
 /* Applies the registration of a member's target; a member that is gone has none. */
 static void
-take_registration (Node *node, const Member *member, const sw_member_payload *payload)
+apply_member_registration (Node *node,
+                           const Member *member,
+                           const sw_member_payload *payload)
 {
   const sw_registration *words = payload->registrations.registrations_val;
   Registration registration = { .address = "" };
@@ -71,7 +73,7 @@
 
 /* Applies a member's verdicts on its targets. Targets without a verdict are healthy. */
 static void
-take_verdicts (Node *node, const Member *member, const sw_member_payload *payload)
+apply_verdicts (Node *node, const Member *member, const sw_member_payload *payload)
 {
   sw_member_state state = { 0 };
 
@@ -95,15 +97,15 @@
 }
 
 static void
-take_words (Node *node, const Member *member)
+apply_member_payload (Node *node, const Member *member)
 {
   sw_member_payload payload = { 0 };
 
   if (member->payload &&
       !wire_unpack ((xdrproc_t)xdr_sw_member_payload, member->payload, &payload))
     return;
-  take_verdicts (node, member, &payload);
-  take_registration (node, member, &payload);
+  apply_verdicts (node, member, &payload);
+  apply_member_registration (node, member, &payload);
   xdr_free ((xdrproc_t)xdr_sw_member_payload, (char *)&payload);
 }
 
@@ -115,7 +117,7 @@
 
   balancer_set_member (node->balancer, member->node, member->incarnation,
                        members_is_alive (member));
-  take_words (node, member);
+  apply_member_payload (node, member);
   allowances_note_member (node->allowances, member);
   log_event (G_LOG_LEVEL_DEBUG, "member", "SUBJECT", member->node, "DETAIL",
              names[member->status], NULL);
--- a/daemon/src/member/gossip-private.h
+++ b/daemon/src/member/gossip-private.h
@@ -15,10 +15,10 @@
   Node *node;
   Datagram *datagram;
   LoopTimer *timer;
-  LoopTimer *retell;      /* forwards news from other halls in this one */
-  LoopTimer *spread;      /* sends the quarantine's news */
-  gboolean spread_urgent; /* the timer runs for urgent news */
-  GHashTable *relays;     /* xid → Relay */
+  LoopTimer *forward_timer; /* forwards news from other halls in this one */
+  LoopTimer *spread;        /* sends the quarantine's news */
+  gboolean spread_urgent;   /* the timer runs for urgent news */
+  GHashTable *relays;       /* xid → Relay */
   guint32 relay_sequence;
 };
 
@@ -33,12 +33,12 @@
 void gossip_send_reply (Gossip *gossip, const char *address, const char *to, guint32 xid);
 
 /* Fills a message's rumours and briefs for `to`, NULL for an unknown receiver. They
-   borrow their data from the membership; gossip_drop_news frees the arrays. */
-void gossip_put_news (Node *node, const char *to, sw_gossip *message);
-void gossip_drop_news (sw_gossip *message);
+   borrow their data from the membership; gossip_clear_news frees the arrays. */
+void gossip_fill_news (Node *node, const char *to, sw_gossip *message);
+void gossip_clear_news (sw_gossip *message);
 
 /* Merges a message's rumours and briefs. Returns TRUE if any of them was new. */
-gboolean gossip_take_news (Node *node, const sw_gossip *message);
+gboolean gossip_merge_news (Node *node, const sw_gossip *message);
 
 /* Passes a change of `member` on to the balancer, the configuration sync and the
    allowances; `data` is the Node. */
--- a/daemon/src/member/gossip-repair.c
+++ b/daemon/src/member/gossip-repair.c
@@ -29,7 +29,7 @@
 
 /* Sends the digests of this node's buckets once the session has been opened. */
 static void
-ask_view (const PeerStamp *stamp, gpointer data)
+request_view (const PeerStamp *stamp, gpointer data)
 {
   Repair *repair = data;
   Node *node = repair->gossip->node;
@@ -59,7 +59,7 @@
   repair = g_new0 (Repair, 1);
   repair->gossip = gossip;
   repair->vm = g_strdup (from);
-  peers_open (node->peers, from, REPAIR_TIMEOUT_US, ask_view, repair);
+  peers_open (node->peers, from, REPAIR_TIMEOUT_US, request_view, repair);
 }
 
 void
--- a/daemon/src/member/gossip-send.c
+++ b/daemon/src/member/gossip-send.c
@@ -5,7 +5,7 @@
 #include "platform-era.h"
 #include "quarantine-node.h"
 
-/* Fills a message with this node's news; drop_filled frees what this allocates. */
+/* Fills a message with this node's news; clear_gossip frees what this allocates. */
 static void
 fill_gossip (Gossip *gossip, const char *to, sw_gossip *message)
 {
@@ -17,18 +17,18 @@
   message->digest = members_digest (node->members);
   if (!message->subject)
     message->subject = "";
-  gossip_put_news (node, to, message);
+  gossip_fill_news (node, to, message);
   quarantine_node_fill_gossip (node->quarantine, to, message);
   message->store_era = platform_era_get (node->era);
-  config_sync_put_evacuations (node->config, &message->evacuations);
+  config_sync_fill_evacuations (node->config, &message->evacuations);
 }
 
 static void
-drop_filled (sw_gossip *message)
+clear_gossip (sw_gossip *message)
 {
-  gossip_drop_news (message);
+  gossip_clear_news (message);
   quarantine_node_clear_gossip (message);
-  config_sync_drop_evacuations (&message->evacuations);
+  config_sync_clear_evacuations (&message->evacuations);
 }
 
 /* Counts the bytes of a sent message: its news as rumours, the rest as probes. */
@@ -68,7 +68,7 @@
       datagram_send (gossip->datagram, address, bytes);
       count_sent (gossip, to, &message, bytes->len);
     }
-  drop_filled (&message);
+  clear_gossip (&message);
 }
 
 void
@@ -84,5 +84,5 @@
       datagram_send (gossip->datagram, address, bytes);
       count_sent (gossip, to, &message, bytes->len);
     }
-  drop_filled (&message);
+  clear_gossip (&message);
 }
--- a/daemon/src/member/gossip.c
+++ b/daemon/src/member/gossip.c
@@ -18,7 +18,7 @@
 #define JOIN_FAR 2u
 /* Delay after which news from other halls is forwarded, so that several messages that
    arrive together are forwarded once. */
-#define RETELL_US (10 * MS_US)
+#define FORWARD_DELAY_US (10 * MS_US)
 /* News of requests that crash targets concerns all nodes at once: each node that receives
    it sends it to SPREAD_NEAR members of its hall and to one member of each of SPREAD_FAR
    other halls. In the simulated fleet all 1,200 nodes hold a request back 0.6 s after it
@@ -29,14 +29,14 @@
 #define SPREAD_FAR 1u
 /* The quarantine's news is sent after SPREAD_FIRST_US, together with what has arrived
    meanwhile, and then at an interval as long as sends remain: four messages of 0.4 KB
-   each time. SPREAD_AGAIN_US keeps news that is not urgent within the 3 KB/s that a node
-   may send for control. */
+   each time. SPREAD_INTERVAL_US keeps news that is not urgent within the 3 KB/s that a
+   node may send for control. */
 #define SPREAD_FIRST_US (10 * MS_US)
 #define SPREAD_URGENT_US (100 * MS_US)
-#define SPREAD_AGAIN_US (600 * MS_US)
+#define SPREAD_INTERVAL_US (600 * MS_US)
 /* Set in the sequence numbers of relayed probes, joins and news; the numbers of the
    membership's own probes are below it. */
-#define RELAY_SEQUENCES 0x80000000u
+#define RELAY_SEQUENCE_BIT 0x80000000u
 #define RELAY_LIFE_US (2 * SECOND_US)
 
 /* A probe sent on behalf of another node. */
@@ -59,18 +59,18 @@
 }
 
 static void
-take_message (Gossip *gossip, const sw_gossip *message)
+merge_message (Gossip *gossip, const sw_gossip *message)
 {
   Node *node = gossip->node;
-  gboolean any = gossip_take_news (node, message);
+  gboolean any = gossip_merge_news (node, message);
 
   if (any && !peers_in_own_hall (node, message->from))
-    loop_timer_start (gossip->retell, RETELL_US);
+    loop_timer_start (gossip->forward_timer, FORWARD_DELAY_US);
   if (quarantine_node_merge_gossip (node->quarantine, message))
-    gossip_spread (gossip);
+    gossip_schedule_quarantine_news (gossip);
   config_sync_note_generation (node->config, message->from, message->generation);
   platform_era_note (node->era, message->store_era);
-  config_sync_note_evacuations (node->config, &message->evacuations);
+  config_sync_merge_evacuations (node->config, &message->evacuations);
   gossip_repair (gossip, message->from, message->digest);
 }
 
@@ -83,7 +83,7 @@
 
   if (!member)
     return;
-  own = RELAY_SEQUENCES | ++gossip->relay_sequence;
+  own = RELAY_SEQUENCE_BIT | ++gossip->relay_sequence;
   relay = g_new0 (Relay, 1);
   relay->to = g_strdup (to);
   relay->subject = g_strdup (subject);
@@ -104,7 +104,7 @@
   if (wire_call_decode (&xdr, &call) && xdr_sw_gossip (&xdr, &message) &&
       message.seal == gossip->node->settings->fleet_token_digest)
     {
-      take_message (gossip, &message);
+      merge_message (gossip, &message);
       if (call.procedure == SW_PROBE_VIA)
         relay_probe (gossip, from, call.xid, message.subject);
       else if (call.procedure == SW_PROBE)
@@ -117,7 +117,7 @@
 /* Handles the answer of node `from` to a relayed probe: forwards it to the node that
    asked for the probe, unless another node than the probed one has answered. */
 static void
-take_relayed (Gossip *gossip, const Relay *relay, const char *from)
+handle_relayed_answer (Gossip *gossip, const Relay *relay, const char *from)
 {
   if (strcmp (relay->subject, from) == 0)
     gossip_send_reply (gossip, relay->to, NULL, relay->xid);
@@ -135,10 +135,10 @@
           WIRE_REPLY_OK &&
       message.seal == gossip->node->settings->fleet_token_digest)
     {
-      take_message (gossip, &message);
+      merge_message (gossip, &message);
       relay = g_hash_table_lookup (gossip->relays, GUINT_TO_POINTER (xid));
       if (relay)
-        take_relayed (gossip, relay, message.from);
+        handle_relayed_answer (gossip, relay, message.from);
       else
         members_answered (gossip->node->members, xid, message.from);
       g_hash_table_remove (gossip->relays, GUINT_TO_POINTER (xid));
@@ -163,7 +163,7 @@
 }
 
 static gboolean
-relay_is_over (gpointer key, gpointer value, gpointer data)
+relay_is_expired (gpointer key, gpointer value, gpointer data)
 {
   return ((Relay *)value)->until_us < *(gint64 *)data;
 }
@@ -189,7 +189,7 @@
         gossip_send_call (gossip, action->address, NULL, SW_PROBE_VIA, action->subject,
                           action->sequence);
     }
-  g_hash_table_foreach_remove (gossip->relays, relay_is_over, &now);
+  g_hash_table_foreach_remove (gossip->relays, relay_is_expired, &now);
   datagram_bytes (gossip->datagram, &sent, &received);
   metrics_set (node->metrics, METRIC_GOSSIP_SENT_BYTES, sent);
   metrics_set (node->metrics, METRIC_GOSSIP_RECEIVED_BYTES, received);
@@ -201,7 +201,7 @@
 /* Returns live members other than self in random order: up to `near` of this hall, and
    one of each of up to `far` other halls. */
 static GPtrArray *
-some_members (const Gossip *gossip, guint near, guint far)
+pick_members (const Gossip *gossip, guint near, guint far)
 {
   Node *node = gossip->node;
   g_autoptr (GPtrArray) all = g_ptr_array_copy (members_all (node->members), NULL, NULL);
@@ -228,14 +228,14 @@
 static void
 tell (Gossip *gossip, guint near, guint far)
 {
-  g_autoptr (GPtrArray) some = some_members (gossip, near, far);
+  g_autoptr (GPtrArray) some = pick_members (gossip, near, far);
 
   for (guint i = 0; i < some->len; i++)
     {
       const Member *member = g_ptr_array_index (some, i);
 
       gossip_send_call (gossip, member->address, member->node, SW_NEWS, NULL,
-                        RELAY_SEQUENCES | ++gossip->relay_sequence);
+                        RELAY_SEQUENCE_BIT | ++gossip->relay_sequence);
     }
 }
 
@@ -246,7 +246,7 @@
 }
 
 static void
-on_retell (gpointer data)
+on_forward_timer (gpointer data)
 {
   tell (data, NEAR_FANOUT, 0);
 }
@@ -262,11 +262,11 @@
     return;
   tell (gossip, SPREAD_NEAR, SPREAD_FAR);
   loop_timer_start (gossip->spread,
-                    gossip->spread_urgent ? SPREAD_URGENT_US : SPREAD_AGAIN_US);
+                    gossip->spread_urgent ? SPREAD_URGENT_US : SPREAD_INTERVAL_US);
 }
 
 void
-gossip_spread (Gossip *gossip)
+gossip_schedule_quarantine_news (Gossip *gossip)
 {
   QuarantineUrgency urgency = quarantine_node_urgency (gossip->node->quarantine);
   gboolean waits = loop_timer_is_started (gossip->spread);
@@ -294,7 +294,7 @@
     }
   gossip->relays = g_hash_table_new_full (NULL, NULL, NULL, relay_free);
   gossip->timer = loop_timer_create (node->loop, on_timer, gossip);
-  gossip->retell = loop_timer_create (node->loop, on_retell, gossip);
+  gossip->forward_timer = loop_timer_create (node->loop, on_forward_timer, gossip);
   gossip->spread = loop_timer_create (node->loop, on_spread, gossip);
   members_set_changed (node->members, gossip_on_changed, node);
   loop_timer_start (gossip->timer, 0);
@@ -307,7 +307,7 @@
   if (!gossip)
     return;
   loop_timer_destroy (gossip->timer);
-  loop_timer_destroy (gossip->retell);
+  loop_timer_destroy (gossip->forward_timer);
   loop_timer_destroy (gossip->spread);
   datagram_destroy (gossip->datagram);
   g_hash_table_unref (gossip->relays);
@@ -316,7 +316,7 @@
 
 /* Probes up to `count` random addresses, in this hall or in others. */
 static void
-join_some (Gossip *gossip, const GArray *found, gboolean own_hall, guint count)
+probe_random_nodes (Gossip *gossip, const GArray *found, gboolean own_hall, guint count)
 {
   const char *hall = gossip->node->settings->hall;
   g_autoptr (GPtrArray) some = g_ptr_array_new ();
@@ -333,13 +333,13 @@
       guint i = (guint)g_rand_int_range (gossip->node->rand, 0, (gint32)some->len);
 
       gossip_send_call (gossip, g_ptr_array_steal_index_fast (some, i), NULL, SW_PROBE,
-                        NULL, RELAY_SEQUENCES | ++gossip->relay_sequence);
+                        NULL, RELAY_SEQUENCE_BIT | ++gossip->relay_sequence);
     }
 }
 
 void
 gossip_join (Gossip *gossip, const GArray *found)
 {
-  join_some (gossip, found, TRUE, JOIN_NEAR);
-  join_some (gossip, found, FALSE, JOIN_FAR);
+  probe_random_nodes (gossip, found, TRUE, JOIN_NEAR);
+  probe_random_nodes (gossip, found, FALSE, JOIN_FAR);
 }
--- a/daemon/src/member/gossip.h
+++ b/daemon/src/member/gossip.h
@@ -20,7 +20,7 @@
 
 /* Starts to send the quarantine's news to a few members at intervals, until each entry
    has been sent often enough. */
-void gossip_spread (Gossip *gossip);
+void gossip_schedule_quarantine_news (Gossip *gossip);
 
 /* A node's address as discovery reports it. */
 typedef struct
--- a/daemon/src/member/path-probe.c
+++ b/daemon/src/member/path-probe.c
@@ -62,7 +62,7 @@
     }
   if (outcome != RPC_OK && outcome != RPC_DENIED)
     {
-      peers_renew (probes->node->peers, probe->vm);
+      peers_disconnect (probes->node->peers, probe->vm);
       loop_timer_start (probe->timer, PROBE_EVERY_US);
       return;
     }
@@ -90,7 +90,7 @@
 }
 
 void
-path_probes_begin (PathProbes *probes, const char *vm)
+path_probes_start (PathProbes *probes, const char *vm)
 {
   Probe *probe;
 
@@ -110,7 +110,7 @@
 static void
 on_unanswered (const char *vm, gpointer data)
 {
-  path_probes_begin (data, vm);
+  path_probes_start (data, vm);
 }
 
 PathProbes *
--- a/daemon/src/member/path-probe.h
+++ b/daemon/src/member/path-probe.h
@@ -13,6 +13,6 @@
 
 /* Closes the path to a node that has not answered calls, and pings the node until it
    answers or the membership holds it dead. Does nothing if it is probed already. */
-void path_probes_begin (PathProbes *probes, const char *vm);
+void path_probes_start (PathProbes *probes, const char *vm);
 
 #endif
--- a/daemon/src/member/peers.c
+++ b/daemon/src/member/peers.c
@@ -103,7 +103,7 @@
 /* Returns the peer at the node's present address, creating it if needed; NULL if the
    address is unknown. */
 static Peer *
-peer_of (Peers *peers, const char *vm)
+ensure_peer (Peers *peers, const char *vm)
 {
   const char *address = address_of (peers->node, vm);
   Peer *peer = find_peer (peers, vm);
@@ -122,7 +122,7 @@
 }
 
 static gboolean
-is_fresh (const Peer *peer)
+has_fresh_session (const Peer *peer)
 {
   return peer->open && rpc_peer_is_open (peer->rpc) &&
          peer->connection == rpc_peer_connection (peer->rpc) &&
@@ -182,7 +182,7 @@
  * nine in a row were sent to them and refused.
  */
 static void
-note_other (Node *node, const char *vm, const char *other)
+note_address_reused (Node *node, const char *vm, const char *other)
 {
   log_event (G_LOG_LEVEL_INFO, "address-taken-over", "SUBJECT", vm, "DETAIL", other,
              NULL);
@@ -203,7 +203,7 @@
     peer->checking = FALSE;
   balancer_note_path (peers->node->balancer, opening->vm, outcome == RPC_OK && !other);
   if (other && !peers->closing)
-    note_other (peers->node, opening->vm, res->stamp.node);
+    note_address_reused (peers->node, opening->vm, res->stamp.node);
   if (outcome != RPC_OK && outcome != RPC_DENIED && !peers->closing && peers->unanswered)
     peers->unanswered (opening->vm, peers->unanswered_data);
   if (peer && outcome == RPC_OK && res->welcome && !other)
@@ -264,7 +264,8 @@
 }
 
 static void
-say_hello (Peers *peers, Peer *peer, gint64 timeout_us, PeersOpened opened, gpointer data)
+call_hello (
+    Peers *peers, Peer *peer, gint64 timeout_us, PeersOpened opened, gpointer data)
 {
   Opening *opening = g_new0 (Opening, 1);
   sw_hello_args args = { .token = peers->node->settings->fleet_token };
@@ -283,37 +284,37 @@
 {
   const Peer *peer = find_peer (peers, vm);
 
-  return peer && is_fresh (peer);
+  return peer && has_fresh_session (peer);
 }
 
 void
 peers_open (
     Peers *peers, const char *vm, gint64 timeout_us, PeersOpened opened, gpointer data)
 {
-  Peer *peer = peer_of (peers, vm);
+  Peer *peer = ensure_peer (peers, vm);
 
   if (!peer)
     {
       opened (NULL, data);
       return;
     }
-  if (is_fresh (peer))
+  if (has_fresh_session (peer))
     {
       opened (&peer->stamp, data);
       return;
     }
-  say_hello (peers, peer, timeout_us, opened, data);
+  call_hello (peers, peer, timeout_us, opened, data);
 }
 
 void
 peers_check (Peers *peers, const char *vm)
 {
-  Peer *peer = peer_of (peers, vm);
+  Peer *peer = ensure_peer (peers, vm);
 
   if (!peer || peer->checking)
     return;
   peer->checking = TRUE;
-  say_hello (peers, peer, CHECK_TIMEOUT_US, NULL, NULL);
+  call_hello (peers, peer, CHECK_TIMEOUT_US, NULL, NULL);
 }
 
 gint64
@@ -332,12 +333,12 @@
 }
 
 void
-peers_renew (Peers *peers, const char *vm)
+peers_disconnect (Peers *peers, const char *vm)
 {
   Peer *peer = find_peer (peers, vm);
 
   if (peer)
-    rpc_peer_renew (peer->rpc);
+    rpc_peer_disconnect (peer->rpc);
 }
 
 void
@@ -359,7 +360,7 @@
             RpcDoneFunc done,
             gpointer data)
 {
-  Peer *peer = peer_of (peers, vm);
+  Peer *peer = ensure_peer (peers, vm);
 
   if (peer)
     return count_sent (
--- a/daemon/src/member/peers.h
+++ b/daemon/src/member/peers.h
@@ -39,7 +39,7 @@
 
 /* Drops the connection to a node, because a single connection may hang for good while
    others work. Calls in flight are lost; the next call opens a new connection. */
-void peers_renew (Peers *peers, const char *vm);
+void peers_disconnect (Peers *peers, const char *vm);
 
 /* Marks the path to a node as doubtful, because the node is slow to answer. For a second,
    or until it answers, it gets only work that no other node can take. */
--- a/daemon/src/member/vm-list.c
+++ b/daemon/src/member/vm-list.c
@@ -7,8 +7,8 @@
 #include "platform.h"
 #include "sidecar.h"
 
-#define READ_EVERY_US (3 * SECOND_US)
-#define TELL_TIMEOUT_US (2 * SECOND_US)
+#define READ_INTERVAL_US (3 * SECOND_US)
+#define NOTIFY_TIMEOUT_US (2 * SECOND_US)
 
 struct VmList
 {
@@ -35,7 +35,7 @@
 /* After a failure the version is forgotten, so that the next read delivers the list again
    and the node is notified then. */
 static void
-on_told (RpcOutcome outcome, void *result, gpointer data)
+on_notified (RpcOutcome outcome, void *result, gpointer data)
 {
   Notice *notice = data;
 
@@ -50,10 +50,10 @@
   Notice *notice = data;
 
   if (stamp)
-    peers_call (notice->list->node->peers, notice->vm, &leave, NULL, TELL_TIMEOUT_US,
-                on_told, notice);
+    peers_call (notice->list->node->peers, notice->vm, &leave, NULL, NOTIFY_TIMEOUT_US,
+                on_notified, notice);
   else
-    on_told (RPC_UNSENT, NULL, notice);
+    on_notified (RPC_UNSENT, NULL, notice);
 }
 
 static void
@@ -74,11 +74,11 @@
   notice = g_new0 (Notice, 1);
   notice->list = list;
   notice->vm = g_strdup (vm);
-  peers_open (node->peers, vm, TELL_TIMEOUT_US, on_open, notice);
+  peers_open (node->peers, vm, NOTIFY_TIMEOUT_US, on_open, notice);
 }
 
 static void
-take_list (VmList *list, const char *text, gsize len)
+apply_list (VmList *list, const char *text, gsize len)
 {
   g_autoptr (JsonParser) parser = json_parser_new_immutable ();
   JsonNode *root;
@@ -111,7 +111,7 @@
     return;
   g_free (list->version);
   list->version = g_strdup (result->version);
-  take_list (list, (const char *)result->body->data, result->body->len);
+  apply_list (list, (const char *)result->body->data, result->body->len);
 }
 
 static void
@@ -119,7 +119,7 @@
 {
   VmList *list = data;
 
-  loop_timer_start (list->timer, READ_EVERY_US);
+  loop_timer_start (list->timer, READ_INTERVAL_US);
   if (config_sync_is_watcher (list->node->config))
     platform_vms (list->node, list->version ? list->version : "", on_list, list);
 }
@@ -131,7 +131,7 @@
 
   list->node = node;
   list->timer = loop_timer_create (node->loop, on_timer, list);
-  loop_timer_start (list->timer, READ_EVERY_US);
+  loop_timer_start (list->timer, READ_INTERVAL_US);
   return list;
 }
 
--- a/daemon/src/node/node.c
+++ b/daemon/src/node/node.c
@@ -217,7 +217,7 @@
 static void
 on_quarantine_news (gpointer data)
 {
-  gossip_spread (((Node *)data)->gossip);
+  gossip_schedule_quarantine_news (((Node *)data)->gossip);
 }
 
 static gboolean
--- a/daemon/src/request/attempt-send.c
+++ b/daemon/src/request/attempt-send.c
@@ -45,7 +45,7 @@
 {
   Attempt *attempt = data;
 
-  path_probes_begin (attempt->exchange->owner->node->paths, attempt->target->vm);
+  path_probes_start (attempt->exchange->owner->node->paths, attempt->target->vm);
   attempt_ended (attempt, RPC_LOST, NULL);
 }
 
--- a/daemon/tests/test-allowance-fleet.c
+++ b/daemon/tests/test-allowance-fleet.c
@@ -31,7 +31,7 @@
 
       fleet_list_add (fixture->node.list, name, hall, address);
     }
-  fleet_list_read (fixture->node.list);
+  fleet_list_note_read (fixture->node.list);
 }
 
 static Fixture *
--- a/io/include/io/rpc.h
+++ b/io/include/io/rpc.h
@@ -80,7 +80,7 @@
                      gpointer data);
 
 /* Gives the connection up: calls on their way are lost, and the next opens a new one. */
-void rpc_peer_renew (RpcPeer *peer);
+void rpc_peer_disconnect (RpcPeer *peer);
 
 /* When the peer last sent anything, on the loop's clock; 0 for never. */
 gint64 rpc_peer_heard_us (const RpcPeer *peer);
--- a/io/src/rpc-peer.c
+++ b/io/src/rpc-peer.c
@@ -84,7 +84,7 @@
 }
 
 void
-rpc_peer_renew (RpcPeer *peer)
+rpc_peer_disconnect (RpcPeer *peer)
 {
   if (peer->stream)
     on_closed (peer);
