--- a/bench/src/allowance-net-private.h
+++ b/bench/src/allowance-net-private.h
@@ -15,8 +15,8 @@
 /* Before it everyone knows everyone, and buckets have filled. */
 #define SETTLE_US (20 * SECOND_US)
 #define TIMEOUT_US (60 * MS_US)
-#define SILENT_US (500 * MS_US)
-#define NOT_LENDER_US (50 * MS_US)
+#define LENDER_SILENT_SKIP_US (500 * MS_US)
+#define NOT_LENDER_SKIP_US (50 * MS_US)
 #define YOUNG_US SECOND_US
 #define MOST_KEPT_US (30 * SECOND_US)
 /* When trouble begins, how long it lasts, and how long until it is known. */
--- a/bench/src/allowance-net.c
+++ b/bench/src/allowance-net.c
@@ -191,7 +191,7 @@
 }
 
 static void
-carry_on (Sim *sim, SimNode *node)
+serve_or_borrow (Sim *sim, SimNode *node)
 {
   const char *names[ALLOWANCE_LENDERS];
   guint places[ALLOWANCE_LENDERS];
@@ -226,7 +226,7 @@
 }
 
 static void
-take_answer (Sim *sim, SimNode *node)
+handle_lend_answer (Sim *sim, SimNode *node)
 {
   SimNode *lender = &sim->nodes[node->lender];
   AllowanceGrant grant = { 0 };
@@ -234,9 +234,9 @@
 
   node->due_us = 0;
   if (!gets_there (sim, node, lender))
-    pause = SILENT_US;
+    pause = LENDER_SILENT_SKIP_US;
   else if (!lend (sim, lender, node->wanted, &grant))
-    pause = NOT_LENDER_US;
+    pause = NOT_LENDER_SKIP_US;
   else if (grant.lent < node->wanted)
     pause = grant.retry_after_us;
   allowance_cache_add (node->cache, "acme", grant.lent, node->asked_us);
@@ -244,7 +244,7 @@
     allowance_cache_pause_lender (node->cache, "acme", lender->name, pause);
   serve (sim, node);
   if (node->waiting > 0)
-    carry_on (sim, node);
+    serve_or_borrow (sim, node);
 }
 
 static void
@@ -279,7 +279,7 @@
     sim->refused++;
   else if (node->waiting++ == 0)
     node->waits_since_us = clock_now (sim->clock);
-  carry_on (sim, node);
+  serve_or_borrow (sim, node);
 }
 
 AllowanceResult
@@ -297,7 +297,7 @@
           MIN (sim->ideal_level + sim->terms.per_s / STEPS_PER_S, sim->terms.burst);
       for (guint i = 0; i < it->nodes; i++)
         if (sim->nodes[i].due_us > 0 && clock_now (sim->clock) >= sim->nodes[i].due_us)
-          take_answer (sim, &sim->nodes[i]);
+          handle_lend_answer (sim, &sim->nodes[i]);
       for (guint count = sim_arrivals (sim, expected); count > 0; count--)
         come (sim, sim_pick_node (sim));
       clock_advance (sim->clock, STEP_US);
--- a/daemon/src/account/account-stats.c
+++ b/daemon/src/account/account-stats.c
@@ -6,15 +6,15 @@
 /* Accounts that are counted by name. With 1,200 nodes and 44,000 accounts, a node serves
    some hundred at a time; at twenty lines of metrics for each account this limit gives
    64 kB. */
-#define NAMED_MAX 32u
+#define NAMED_ACCOUNTS_MAX 32u
 /* How often the weights of the named accounts are halved, so that idle ones make room. */
-#define FORGET_EVERY_US (10 * SECOND_US)
+#define DECAY_INTERVAL_US (10 * SECOND_US)
 
 typedef struct
 {
   guint64 events[ACCOUNT_EVENTS];
   Histogram *took;
-  guint weight; /* recent requests; halved every FORGET_EVERY_US */
+  guint weight; /* recent requests; halved every DECAY_INTERVAL_US */
 } Counts;
 
 struct AccountStats
@@ -22,7 +22,7 @@
   Clock *clock;
   GHashTable *named; /* account → Counts */
   Counts *others;
-  gint64 forgot_us;
+  gint64 last_decay_us;
 };
 
 static const char *const event_names[ACCOUNT_EVENTS] = { "done", "not-run", "unknown",
@@ -58,7 +58,7 @@
   stats->clock = clock;
   stats->named = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, counts_free);
   stats->others = counts_create ();
-  stats->forgot_us = clock_now (clock);
+  stats->last_decay_us = clock_now (clock);
   return stats;
 }
 
@@ -81,9 +81,9 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (now - stats->forgot_us < FORGET_EVERY_US)
+  if (now - stats->last_decay_us < DECAY_INTERVAL_US)
     return;
-  stats->forgot_us = now;
+  stats->last_decay_us = now;
   g_hash_table_iter_init (&iter, stats->named);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -99,13 +99,13 @@
 }
 
 static Counts *
-counts_of (AccountStats *stats, const char *account)
+ensure_counts (AccountStats *stats, const char *account)
 {
   Counts *counts = g_hash_table_lookup (stats->named, account);
 
   if (counts)
     return counts;
-  if (g_hash_table_size (stats->named) >= NAMED_MAX)
+  if (g_hash_table_size (stats->named) >= NAMED_ACCOUNTS_MAX)
     return stats->others;
   counts = counts_create ();
   g_hash_table_insert (stats->named, g_strdup (account), counts);
@@ -121,14 +121,14 @@
   Counts *counts;
 
   forget (stats);
-  counts = counts_of (stats, account);
+  counts = ensure_counts (stats, account);
   counts->events[event]++;
   counts->weight++;
   histogram_add (counts->took, took_us);
 }
 
 AccountEvent
-account_event_of (Outcome outcome)
+account_event_from_outcome (Outcome outcome)
 {
   switch (outcome)
     {
--- a/daemon/src/account/account-stats.h
+++ b/daemon/src/account/account-stats.h
@@ -31,7 +31,7 @@
                          AccountEvent event,
                          gint64 took_us);
 
-AccountEvent account_event_of (Outcome outcome);
+AccountEvent account_event_from_outcome (Outcome outcome);
 
 /* Appends counters and histograms in the Prometheus text format. */
 void account_stats_append (const AccountStats *stats, GString *text);
--- a/daemon/src/account/allowance-fleet.c
+++ b/daemon/src/account/allowance-fleet.c
@@ -12,7 +12,7 @@
 #define YOUNG_US SECOND_US
 /* How long after its start a node uses the list. Members found in this time were there
    before it, so they do not move the time from which it lends, which is its start. */
-#define FINDING_US (3 * SECOND_US)
+#define LIST_USED_US (3 * SECOND_US)
 /* Shares refer to the largest fleet seen within this time. Nodes that are cut off are
    detected within seconds, and later rejoin or count as having left. */
 #define MOST_KEPT_US (30 * SECOND_US)
@@ -20,10 +20,10 @@
 struct AllowanceFleet
 {
   const Node *node;
-  GHashTable *halls; /* live members: node → hall */
-  GHashTable *gone;  /* set of the nodes that gossip reports as dead or left */
-  GArray *nodes;     /* of AllowanceNode, borrowed from `halls` and the list */
-  gboolean by_list;  /* `nodes` includes the platform's list */
+  GHashTable *halls;      /* live members: node → hall */
+  GHashTable *gone;       /* set of the nodes that gossip reports as dead or left */
+  GArray *nodes;          /* of AllowanceNode, borrowed from `halls` and the list */
+  gboolean includes_list; /* `nodes` includes the platform's list */
   gint64 changed_us;
   guint most;
   gint64 most_until_us;
@@ -39,7 +39,7 @@
   fleet->gone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   fleet->nodes = g_array_new (FALSE, FALSE, sizeof (AllowanceNode));
   fleet->changed_us = node->started_us;
-  allowance_fleet_note (fleet, members_self (node->members));
+  allowance_fleet_note_member (fleet, members_self (node->members));
   return fleet;
 }
 
@@ -55,7 +55,7 @@
 }
 
 static void
-note_size (AllowanceFleet *fleet, gint64 now_us)
+note_fleet_size (AllowanceFleet *fleet, gint64 now_us)
 {
   if (fleet->nodes->len < fleet->most && now_us < fleet->most_until_us)
     return;
@@ -71,9 +71,9 @@
 
 /* When a fleet starts for the first time, the list is as incomplete as the membership. */
 static gboolean
-goes_by_list (const AllowanceFleet *fleet)
+uses_list (const AllowanceFleet *fleet)
 {
-  return age_us (fleet) < FINDING_US && fleet_list_is_read (fleet->node->list) &&
+  return age_us (fleet) < LIST_USED_US && fleet_list_is_read (fleet->node->list) &&
          !fleet->node->settings->first_start;
 }
 
@@ -96,7 +96,7 @@
 }
 
 static void
-list_nodes (AllowanceFleet *fleet)
+rebuild_nodes (AllowanceFleet *fleet)
 {
   GHashTableIter iter;
   gpointer node;
@@ -110,32 +110,32 @@
 
       g_array_append_val (fleet->nodes, item);
     }
-  fleet->by_list = goes_by_list (fleet);
-  if (fleet->by_list)
+  fleet->includes_list = uses_list (fleet);
+  if (fleet->includes_list)
     add_listed (fleet);
   else
-    note_size (fleet, clock_now (fleet->node->clock));
+    note_fleet_size (fleet, clock_now (fleet->node->clock));
 }
 
 void
 allowance_fleet_note_list (AllowanceFleet *fleet)
 {
-  if (goes_by_list (fleet))
-    list_nodes (fleet);
+  if (uses_list (fleet))
+    rebuild_nodes (fleet);
 }
 
 gboolean
-allowance_fleet_leave_list (AllowanceFleet *fleet)
+allowance_fleet_expire_list (AllowanceFleet *fleet)
 {
-  if (!fleet->by_list || goes_by_list (fleet))
+  if (!fleet->includes_list || uses_list (fleet))
     return FALSE;
   g_hash_table_remove_all (fleet->gone);
-  list_nodes (fleet);
+  rebuild_nodes (fleet);
   return TRUE;
 }
 
 gboolean
-allowance_fleet_note (AllowanceFleet *fleet, const Member *member)
+allowance_fleet_note_member (AllowanceFleet *fleet, const Member *member)
 {
   gint64 now = clock_now (fleet->node->clock);
   gboolean alive = members_is_alive (member);
@@ -151,17 +151,17 @@
   else
     {
       g_hash_table_remove (fleet->halls, member->node);
-      if (age_us (fleet) < FINDING_US)
+      if (age_us (fleet) < LIST_USED_US)
         g_hash_table_add (fleet->gone, g_strdup (member->node));
     }
-  list_nodes (fleet);
-  if (age_us (fleet) > FINDING_US)
+  rebuild_nodes (fleet);
+  if (age_us (fleet) > LIST_USED_US)
     fleet->changed_us = now;
   return TRUE;
 }
 
 static gboolean
-is_near (const AllowanceFleet *fleet, const char *node)
+is_in_own_hall (const AllowanceFleet *fleet, const char *node)
 {
   const char *hall = g_hash_table_lookup (fleet->halls, node);
   const FleetListEntry *entry = hall ? NULL : fleet_list_find (fleet->node->list, node);
@@ -174,13 +174,13 @@
 /* Moves a lender of this node's hall to the front: its answer comes soonest, and costs no
    traffic between halls. */
 static void
-own_hall_first (const AllowanceFleet *fleet, const char **lenders, guint count)
+move_own_hall_first (const AllowanceFleet *fleet, const char **lenders, guint count)
 {
   for (guint i = 0; i < count; i++)
     {
       const char *near = lenders[i];
 
-      if (!is_near (fleet, near))
+      if (!is_in_own_hall (fleet, near))
         continue;
       lenders[i] = lenders[0];
       lenders[0] = near;
@@ -195,21 +195,21 @@
 {
   guint count = allowance_select_lenders (fleet->nodes, account, lenders);
 
-  own_hall_first (fleet, lenders, count);
+  move_own_hall_first (fleet, lenders, count);
   return count;
 }
 
 static gboolean
-is_young (const AllowanceFleet *fleet)
+is_starting_up (const AllowanceFleet *fleet)
 {
-  return age_us (fleet) < YOUNG_US && !fleet->by_list;
+  return age_us (fleet) < YOUNG_US && !fleet->includes_list;
 }
 
 /* The part of the fleet that this node sees, 0 to 1. The list counts as the whole. */
 static double
 seen_share (const AllowanceFleet *fleet)
 {
-  if (fleet->by_list || fleet->nodes->len >= fleet->most)
+  if (fleet->includes_list || fleet->nodes->len >= fleet->most)
     return 1;
   return (double)fleet->nodes->len / fleet->most;
 }
@@ -220,7 +220,7 @@
   const char *lenders[ALLOWANCE_LENDERS];
   guint count;
 
-  if (is_young (fleet))
+  if (is_starting_up (fleet))
     return 0;
   count = allowance_select_lenders (fleet->nodes, account, lenders);
   for (guint i = 0; i < count; i++)
@@ -230,7 +230,7 @@
 }
 
 gint64
-allowance_fleet_since_us (const AllowanceFleet *fleet)
+allowance_fleet_lends_since_us (const AllowanceFleet *fleet)
 {
   return fleet->changed_us;
 }
--- a/daemon/src/account/allowance-fleet.h
+++ b/daemon/src/account/allowance-fleet.h
@@ -15,7 +15,7 @@
 void allowance_fleet_destroy (AllowanceFleet *fleet);
 
 /* Applies a member's state; TRUE when the member has joined or left. */
-gboolean allowance_fleet_note (AllowanceFleet *fleet, const Member *member);
+gboolean allowance_fleet_note_member (AllowanceFleet *fleet, const Member *member);
 
 /* The platform's list has been read to its end. */
 void allowance_fleet_note_list (AllowanceFleet *fleet);
@@ -23,7 +23,7 @@
 /* Switches from the platform's list to the known members once the list's time is over;
    TRUE when it switches, which may change the lenders. Call before
    allowance_fleet_lenders and allowance_fleet_share. */
-gboolean allowance_fleet_leave_list (AllowanceFleet *fleet);
+gboolean allowance_fleet_expire_list (AllowanceFleet *fleet);
 
 /* Fills in the lenders of an account, with one of this node's hall first, and returns
    their number. The names are valid until a member joins or leaves. */
@@ -36,6 +36,6 @@
 
 /* The time, by the node's clock, from which this node alone lends its share: its start,
    or the last change in the membership after its first seconds. */
-gint64 allowance_fleet_since_us (const AllowanceFleet *fleet);
+gint64 allowance_fleet_lends_since_us (const AllowanceFleet *fleet);
 
 #endif
--- a/daemon/src/account/allowances-lend.c
+++ b/daemon/src/account/allowances-lend.c
@@ -28,7 +28,7 @@
 void
 allowances_refresh (Allowances *allowances)
 {
-  if (allowance_fleet_leave_list (allowances->fleet))
+  if (allowance_fleet_expire_list (allowances->fleet))
     prune (allowances);
 }
 
@@ -36,13 +36,13 @@
 void
 allowances_note_member (Allowances *allowances, const Member *member)
 {
-  if (allowance_fleet_note (allowances->fleet, member))
+  if (allowance_fleet_note_member (allowances->fleet, member))
     prune (allowances);
 }
 
 /* The account's limits from the newer configuration, this node's or the caller's. */
 static AllowanceTerms
-terms_of (const Allowances *allowances, const sw_allow_args *args)
+newest_terms (const Allowances *allowances, const sw_allow_args *args)
 {
   const Snapshot *snapshot = config_sync_snapshot (allowances->node->config);
   const Account *account = snapshot_account (snapshot, args->account);
@@ -58,7 +58,7 @@
 void
 allowances_lend (Allowances *allowances, const sw_allow_args *args, sw_allow_res *res)
 {
-  AllowanceTerms terms = terms_of (allowances, args);
+  AllowanceTerms terms = newest_terms (allowances, args);
   AllowanceGrant grant;
   double share;
 
@@ -73,9 +73,9 @@
       res->lent = args->wanted;
       return;
     }
-  grant =
-      allowance_book_lend (allowances->book, args->account, &terms, share,
-                           allowance_fleet_since_us (allowances->fleet), args->wanted);
+  grant = allowance_book_lend (allowances->book, args->account, &terms, share,
+                               allowance_fleet_lends_since_us (allowances->fleet),
+                               args->wanted);
   res->lent = grant.lent;
   res->retry_after_ms = (u_int)(grant.retry_after_us / MS_US);
 }
--- a/daemon/src/account/allowances.c
+++ b/daemon/src/account/allowances.c
@@ -10,17 +10,17 @@
 #include "peers.h"
 
 /* A lender answers within one round trip, and within 20 ms when its node is slow. */
-#define ASK_TIMEOUT_US (60 * MS_US)
+#define LEND_TIMEOUT_US (60 * MS_US)
 #define OPEN_TIMEOUT_US (100 * MS_US)
 /* How long a lender that did not answer is skipped. */
-#define SILENT_US (500 * MS_US)
+#define LENDER_SILENT_SKIP_US (500 * MS_US)
 /* How long a node that answers that it is no lender is skipped. Its view of the fleet
    differs from ours, and the views converge within a probe. */
-#define NOT_LENDER_US (50 * MS_US)
+#define NOT_LENDER_SKIP_US (50 * MS_US)
 /* While no lender can be called, a request waits for half of its latency objective: the
    nodes of a fleet that has just started know each other within a second. */
-#define UNKNOWN_PARTS 2
-#define UNKNOWN_DEFAULT_US (250 * MS_US)
+#define UNKNOWN_WAIT_DIVISOR 2
+#define UNKNOWN_WAIT_DEFAULT_US (250 * MS_US)
 #define LOOK_AGAIN_US (25 * MS_US)
 /* While the last answer of a lender is younger than this, the allowance counts as
    exceeded and not as unknown. */
@@ -33,7 +33,7 @@
 static const RpcProcedure allow = { SW_ALLOW, (xdrproc_t)xdr_sw_allow_args,
                                     (xdrproc_t)xdr_sw_allow_res, sizeof (sw_allow_res) };
 
-static void carry_on (Queue *queue);
+static void serve_or_borrow (Queue *queue);
 
 static void
 waiter_free (Waiter *waiter)
@@ -84,13 +84,13 @@
 }
 
 static void
-on_again (gpointer data)
+on_queue_timer (gpointer data)
 {
-  carry_on (data);
+  serve_or_borrow (data);
 }
 
 static Queue *
-queue_of (Allowances *allowances, const Account *account)
+ensure_queue (Allowances *allowances, const Account *account)
 {
   Queue *queue = g_hash_table_lookup (allowances->queues, account->id);
 
@@ -99,7 +99,7 @@
       queue = g_new0 (Queue, 1);
       queue->allowances = allowances;
       queue->account = g_strdup (account->id);
-      queue->again = loop_timer_create (allowances->node->loop, on_again, queue);
+      queue->again = loop_timer_create (allowances->node->loop, on_queue_timer, queue);
       g_queue_init (&queue->waiters);
       g_hash_table_insert (allowances->queues, queue->account, queue);
     }
@@ -136,10 +136,11 @@
 }
 
 static gboolean
-may_wait_on (const Waiter *waiter, gint64 now_us)
+may_keep_waiting (const Waiter *waiter, gint64 now_us)
 {
   gint64 objective = waiter->order.route->objective_us;
-  gint64 most = objective > 0 ? objective / UNKNOWN_PARTS : UNKNOWN_DEFAULT_US;
+  gint64 most =
+      objective > 0 ? objective / UNKNOWN_WAIT_DIVISOR : UNKNOWN_WAIT_DEFAULT_US;
 
   return now_us - http_request_taken_us (waiter->order.request) < most;
 }
@@ -152,7 +153,7 @@
       GList *next = item->next;
       Waiter *waiter = item->data;
 
-      if (!may_wait_on (waiter, now_us))
+      if (!may_keep_waiting (waiter, now_us))
         {
           g_queue_delete_link (&queue->waiters, item);
           settle (waiter, ALLOWANCE_UNKNOWN, UNKNOWN_RETRY_US);
@@ -175,16 +176,16 @@
 
 /* Handles a lender's answer; NULL when there was none. */
 static void
-take_answer (Queue *queue, const sw_allow_res *res)
+handle_lend_answer (Queue *queue, const sw_allow_res *res)
 {
   Allowances *allowances = queue->allowances;
   gint64 pause_us = 0;
 
   queue->asking = FALSE;
   if (!res)
-    pause_us = SILENT_US;
+    pause_us = LENDER_SILENT_SKIP_US;
   else if (!res->lender)
-    pause_us = NOT_LENDER_US;
+    pause_us = NOT_LENDER_SKIP_US;
   else if (res->lent < queue->wanted)
     pause_us = (gint64)res->retry_after_ms * MS_US;
   if (res && res->lender)
@@ -195,13 +196,13 @@
   if (pause_us > 0)
     allowance_cache_pause_lender (allowances->cache, queue->account, queue->lender,
                                   pause_us);
-  carry_on (queue);
+  serve_or_borrow (queue);
 }
 
 static void
-on_lent (RpcOutcome outcome, void *result, gpointer data)
+on_lend_answer (RpcOutcome outcome, void *result, gpointer data)
 {
-  take_answer (data, outcome == RPC_OK ? result : NULL);
+  handle_lend_answer (data, outcome == RPC_OK ? result : NULL);
 }
 
 static void
@@ -225,13 +226,13 @@
 
   if (!stamp)
     {
-      take_answer (queue, NULL);
+      handle_lend_answer (queue, NULL);
       return;
     }
   fill_args (queue, &args);
   metrics_add (queue->allowances->node->metrics, METRIC_ALLOWANCE_QUESTIONS, 1);
   peers_call (queue->allowances->node->peers, queue->lender, &allow, &args,
-              ASK_TIMEOUT_US, on_lent, queue);
+              LEND_TIMEOUT_US, on_lend_answer, queue);
 }
 
 static void
@@ -252,11 +253,11 @@
     }
   fill_args (queue, &args);
   allowances_lend (queue->allowances, &args, &res);
-  take_answer (queue, &res);
+  handle_lend_answer (queue, &res);
 }
 
 static void
-carry_on (Queue *queue)
+serve_or_borrow (Queue *queue)
 {
   Allowances *allowances = queue->allowances;
   const char *lenders[ALLOWANCE_LENDERS];
@@ -319,7 +320,7 @@
 
 /* A new request goes behind those that already wait. */
 void
-allowances_offer (Allowances *allowances, const ExchangeOrder *order)
+allowances_check (Allowances *allowances, const ExchangeOrder *order)
 {
   static const AllowanceVerdict granted = { ALLOWANCE_GRANTED, 0 };
   ExchangeOrder lent = *order;
@@ -331,13 +332,13 @@
       return;
     }
   sweep (allowances);
-  queue = queue_of (allowances, order->account);
+  queue = ensure_queue (allowances, order->account);
   if (queue->waiters.length == 0 &&
       allowance_cache_take (allowances->cache, queue->account))
     allowances->done (&lent, &granted, allowances->data);
   else
     enqueue (queue, order);
-  carry_on (queue);
+  serve_or_borrow (queue);
 }
 
 guint
--- a/daemon/src/account/allowances.h
+++ b/daemon/src/account/allowances.h
@@ -39,7 +39,7 @@
 
 /* Checks a request against its account's allowance. The function set above runs within
    this call or later; requests that wait keep their own references. */
-void allowances_offer (Allowances *allowances, const ExchangeOrder *order);
+void allowances_check (Allowances *allowances, const ExchangeOrder *order);
 
 /* Refuses all waiting requests, for a stop; returns their number. */
 guint allowances_abort (Allowances *allowances);
--- a/daemon/src/account/credentials.c
+++ b/daemon/src/account/credentials.c
@@ -12,7 +12,7 @@
 /* The key after the scheme, or NULL. Blanks around the key are not part of it (RFC 9110,
    section 11.4). */
 static const char *
-key_of (const char *value, gsize *len)
+find_bearer_key (const char *value, gsize *len)
 {
   gsize scheme = strlen (SCHEME);
   const char *key = value + scheme;
@@ -56,7 +56,7 @@
     }
   if (!value)
     return CREDENTIALS_NONE;
-  key = key_of (value, &len);
+  key = find_bearer_key (value, &len);
   if (!key)
     return CREDENTIALS_BAD;
   digest_key (key, len, digest);
--- a/daemon/src/node/main.c
+++ b/daemon/src/node/main.c
@@ -24,7 +24,7 @@
 
 enum
 {
-  EXIT_CUT = 3,
+  EXIT_ABORTED = 3,
   EXIT_USAGE = 2
 };
 
@@ -101,7 +101,7 @@
         reload (program);
         break;
       case SIGINT:
-        node_run_hurry (program->run);
+        node_run_interrupt (program->run);
         break;
       default:
         node_run_stop (program->run);
@@ -134,12 +134,12 @@
   watch = loop_fd_create (loop, signals, LOOP_READ, on_signal, &program);
   log_event (G_LOG_LEVEL_INFO, "started", "VERSION", SWITCHMILL_VERSION, NULL);
   loop_run (loop);
-  cut = node_run_cut (run);
+  cut = node_run_aborted (run);
   loop_fd_destroy (watch);
   node_run_destroy (run);
   loop_destroy (loop);
   clock_destroy (clock);
-  return cut ? EXIT_CUT : EXIT_SUCCESS;
+  return cut ? EXIT_ABORTED : EXIT_SUCCESS;
 }
 
 int
--- a/daemon/src/node/node-run.h
+++ b/daemon/src/node/node-run.h
@@ -27,7 +27,7 @@
 
 /* For an operator at a terminal: the first call starts a planned stop, the second ends it
    at once and answers the requests that it aborts. */
-void node_run_hurry (NodeRun *run);
+void node_run_interrupt (NodeRun *run);
 
 /*
  * Applies the settings that may change while the node runs: the log threshold, and the
@@ -37,6 +37,6 @@
 void node_run_reload (NodeRun *run, const Settings *settings);
 
 /* The number of requests that the stop has aborted. */
-guint node_run_cut (const NodeRun *run);
+guint node_run_aborted (const NodeRun *run);
 
 #endif
--- a/daemon/src/node/node.c
+++ b/daemon/src/node/node.c
@@ -41,10 +41,10 @@
   LoopTimer *stop;
   gint64 stop_began_us;
   guint cut;
-  gboolean left_before; /* the target was leaving before the stop began */
-  gboolean yielded;     /* callers' requests were aborted as the target leaves */
-  gboolean drained;     /* the sidecar accepts no new work */
-  gboolean hurried;
+  gboolean leaving_before_stop; /* the target was leaving before the stop began */
+  gboolean callers_aborted;     /* callers' requests were aborted as the target leaves */
+  gboolean drained;             /* the sidecar accepts no new work */
+  gboolean stop_at_once;
   gboolean ending;
 };
 
@@ -63,7 +63,7 @@
 /* Announces the leave to the fleet, and aborts the remaining requests. The loop keeps
    running for STOP_FLUSH_US, so that their answers go out. */
 static void
-cut_off (NodeRun *run)
+abort_remaining (NodeRun *run)
 {
   members_leave (run->node.members);
   gossip_push (run->node.gossip);
@@ -100,16 +100,17 @@
  * continues.
  */
 static gboolean
-may_yield (const NodeRun *run)
+may_abort_callers (const NodeRun *run)
 {
-  return !run->yielded && !run->left_before && registry_is_leaving (run->node.registry) &&
+  return !run->callers_aborted && !run->leaving_before_stop &&
+         registry_is_leaving (run->node.registry) &&
          stop_age (run) >= run->node.settings->cut_after_us;
 }
 
 static void
-yield_requests (NodeRun *run)
+abort_callers (NodeRun *run)
 {
-  run->yielded = TRUE;
+  run->callers_aborted = TRUE;
   run->cut += ingress_abort (run->node.ingress);
 }
 
@@ -118,9 +119,9 @@
 static gint64
 next_check_us (const NodeRun *run)
 {
-  gint64 until_yield = run->node.settings->cut_after_us - stop_age (run);
+  gint64 until_abort = run->node.settings->cut_after_us - stop_age (run);
 
-  return until_yield > 0 ? MIN (until_yield, STOP_CHECK_US) : STOP_CHECK_US;
+  return until_abort > 0 ? MIN (until_abort, STOP_CHECK_US) : STOP_CHECK_US;
 }
 
 static void
@@ -135,12 +136,12 @@
     drain_sidecar (run);
   if (stop_age (run) >= settings->linger_us)
     ingress_drain (run->node.ingress);
-  if (may_yield (run))
-    yield_requests (run);
+  if (may_abort_callers (run))
+    abort_callers (run);
   if (run->ending)
     end (run);
-  else if (quiet || run->hurried || stop_age (run) >= run->node.settings->stop_us)
-    cut_off (run);
+  else if (quiet || run->stop_at_once || stop_age (run) >= run->node.settings->stop_us)
+    abort_remaining (run);
   else
     loop_timer_start (run->stop, next_check_us (run));
 }
@@ -157,7 +158,7 @@
     }
   node->stopping = TRUE;
   run->stop_began_us = clock_now (node->clock);
-  run->left_before = registry_is_leaving (node->registry);
+  run->leaving_before_stop = registry_is_leaving (node->registry);
   log_event (G_LOG_LEVEL_INFO, "stopping", NULL);
   sidecar_close_queues (node->sidecar);
   if (node->settings->linger_us <= STOP_DRAIN_LEAD_US)
@@ -169,10 +170,10 @@
 }
 
 void
-node_run_hurry (NodeRun *run)
+node_run_interrupt (NodeRun *run)
 {
   if (run->node.stopping)
-    run->hurried = TRUE;
+    run->stop_at_once = TRUE;
   else
     node_run_stop (run);
 }
@@ -383,7 +384,7 @@
 }
 
 guint
-node_run_cut (const NodeRun *run)
+node_run_aborted (const NodeRun *run)
 {
   return run->cut;
 }
--- a/daemon/src/operator/log.c
+++ b/daemon/src/operator/log.c
@@ -71,7 +71,7 @@
 
 /* GLib's own fields, which are of no use here or are written under another name. */
 static gboolean
-is_plumbing (const char *key)
+is_glib_internal (const char *key)
 {
   return g_str_has_prefix (key, "CODE_") || strcmp (key, "PRIORITY") == 0 ||
          strcmp (key, "GLIB_DOMAIN") == 0;
@@ -79,7 +79,7 @@
 
 /* Never waits for the reader: drops and counts a line whose write would block. */
 static void
-put_line (GString *line)
+write_or_drop_line (GString *line)
 {
   struct pollfd out = { STDOUT_FILENO, POLLOUT, 0 };
 
@@ -108,7 +108,7 @@
   append_pair (line, "level", level_name (level), -1);
   append_pair (line, "node", node_name ? node_name : "", -1);
   for (gsize i = 0; i < count; i++)
-    if (!is_plumbing (fields[i].key))
+    if (!is_glib_internal (fields[i].key))
       append_pair (line, fields[i].key, fields[i].value, fields[i].length);
   if (dropped > 0)
     {
@@ -116,7 +116,7 @@
       dropped = 0;
     }
   g_string_append_c (line, '}');
-  put_line (line);
+  write_or_drop_line (line);
   return G_LOG_WRITER_HANDLED;
 }
 
@@ -141,7 +141,7 @@
 
 /* Appends the pairs of a log_event to its fields; returns the new number of fields. */
 static gsize
-take_pairs (GLogField *fields, gsize count, va_list args)
+append_fields (GLogField *fields, gsize count, va_list args)
 {
   const char *name;
 
@@ -171,7 +171,7 @@
 }
 
 static void
-tell_omitted (GLogLevelFlags level, const char *event, guint omitted)
+log_omitted_lines (GLogLevelFlags level, const char *event, guint omitted)
 {
   g_autofree char *count = g_strdup_printf ("%u", omitted);
   GLogField fields[] = { { "EVENT", "log-omitted", -1 },
@@ -184,7 +184,7 @@
 /* Whether one more line of this kind may be written now. At the start of a new second,
    logs how many were omitted before. */
 static gboolean
-take_from_budget (GLogLevelFlags level, const char *event)
+may_write_line (GLogLevelFlags level, const char *event)
 {
   Budget *budget = budget_of (event);
   gint64 second = clock_now (log_clock) / SECOND_US;
@@ -192,7 +192,7 @@
   if (second != budget->second)
     {
       if (budget->omitted > 0)
-        tell_omitted (level, event, budget->omitted);
+        log_omitted_lines (level, event, budget->omitted);
       *budget = (Budget){ .second = second };
     }
   if (budget->written++ < LINES_PER_SECOND)
@@ -208,10 +208,10 @@
   gsize count;
   va_list args;
 
-  if (level > level_max || (log_clock && !take_from_budget (level, event)))
+  if (level > level_max || (log_clock && !may_write_line (level, event)))
     return;
   va_start (args, event);
-  count = take_pairs (fields, 1, args);
+  count = append_fields (fields, 1, args);
   va_end (args);
   g_log_structured_array (level, fields, count);
 }
--- a/daemon/src/operator/metrics.c
+++ b/daemon/src/operator/metrics.c
@@ -113,7 +113,7 @@
 }
 
 static ClassStats *
-stats_of (Metrics *metrics, const char *tenant, const char *class)
+ensure_class_stats (Metrics *metrics, const char *tenant, const char *class)
 {
   g_autofree char *key = g_strconcat (tenant, " ", class, NULL);
   ClassStats *stats = g_hash_table_lookup (metrics->classes, key);
@@ -129,13 +129,13 @@
 }
 
 void
-metrics_request (Metrics *metrics,
-                 const char *tenant,
-                 const char *class,
-                 Outcome outcome,
-                 gint64 took_us)
+metrics_note_request (Metrics *metrics,
+                      const char *tenant,
+                      const char *class,
+                      Outcome outcome,
+                      gint64 took_us)
 {
-  ClassStats *stats = stats_of (metrics, tenant, class);
+  ClassStats *stats = ensure_class_stats (metrics, tenant, class);
 
   stats->outcomes[outcome]++;
   histogram_add (stats->latency, took_us);
--- a/daemon/src/operator/metrics.h
+++ b/daemon/src/operator/metrics.h
@@ -59,11 +59,11 @@
 guint64 metrics_get (const Metrics *metrics, Metric metric);
 
 /* Records the outcome and the duration of a caller's request. */
-void metrics_request (Metrics *metrics,
-                      const char *tenant,
-                      const char *class,
-                      Outcome outcome,
-                      gint64 took_us);
+void metrics_note_request (Metrics *metrics,
+                           const char *tenant,
+                           const char *class,
+                           Outcome outcome,
+                           gint64 took_us);
 
 /* All metrics in the Prometheus text format; the caller frees them. */
 GString *metrics_text (const Metrics *metrics);
--- a/daemon/src/operator/operators.c
+++ b/daemon/src/operator/operators.c
@@ -161,10 +161,10 @@
   gint64 base_generation;
   char *id;
   gboolean force;
-} ConfirmWords;
+} ConfirmBody;
 
 static gboolean
-read_words (const GByteArray *body, ConfirmWords *words, JsonFaults *faults)
+read_confirm_body (const GByteArray *body, ConfirmBody *words, JsonFaults *faults)
 {
   JsonView *view = json_view_parse ((const char *)body->data, body->len, faults);
 
@@ -181,10 +181,10 @@
 }
 
 static void
-confirm_words (Operators *operators,
-               HttpRequest *request,
-               const ConfirmWords *words,
-               const char *name)
+handle_confirm_body (Operators *operators,
+                     HttpRequest *request,
+                     const ConfirmBody *words,
+                     const char *name)
 {
   const ConfigHead *head = snapshot_head (config_sync_snapshot (operators->node->config));
   Confirmation *confirmation;
@@ -228,10 +228,10 @@
 on_confirm (Operators *operators, HttpRequest *request, const char *name)
 {
   JsonFaults *faults = json_faults_create ();
-  ConfirmWords words = { 0 };
+  ConfirmBody words = { 0 };
 
-  if (read_words (http_request_body (request), &words, faults))
-    confirm_words (operators, request, &words, name);
+  if (read_confirm_body (http_request_body (request), &words, faults))
+    handle_confirm_body (operators, request, &words, name);
   else
     answer_faults (request, "intent", faults);
   json_faults_destroy (faults);
--- a/daemon/src/request/exchange.c
+++ b/daemon/src/request/exchange.c
@@ -49,11 +49,11 @@
   Verdict verdict = { step->outcome, step->reason, step->retry_after_us };
   gint64 took = clock_now (node->clock) - exchange->began_us;
 
-  metrics_request (node->metrics, exchange->tenant, exchange->route->class, step->outcome,
-                   took);
+  metrics_note_request (node->metrics, exchange->tenant, exchange->route->class,
+                        step->outcome, took);
   if (exchange->account)
     account_stats_note (node->account_stats, exchange->account->id,
-                        account_event_of (step->outcome), took);
+                        account_event_from_outcome (step->outcome), took);
   request_log_end (exchange, step, took);
   if (step->outcome != OUTCOME_DONE)
     cancel_attempts (exchange);
--- a/daemon/src/request/ingress.c
+++ b/daemon/src/request/ingress.c
@@ -114,7 +114,7 @@
     return TRUE;
   identity_log (&identity, ingress->node, words->id);
   answer_error (dialect, order->request, words->id, identity.status,
-                identity_fault (&identity));
+                identity_refusal (&identity));
   return FALSE;
 }
 
@@ -145,9 +145,9 @@
     priority = inherit_call_context (ingress, words, &order);
   if (order.account)
     priority = order.account->priority;
-  order.priority = identity_rank (priority, order.route);
+  order.priority = identity_priority (priority, order.route);
   order.span_us = deadline_span (words, order.route);
-  allowances_offer (ingress->node->allowances, &order);
+  allowances_check (ingress->node->allowances, &order);
 }
 
 /* Answers "not run", because the account has exceeded its allowance, or because no lender
--- a/daemon/tests/test-allowance-fleet.c
+++ b/daemon/tests/test-allowance-fleet.c
@@ -89,10 +89,10 @@
   assert_int_equal (allowance_fleet_lenders (fixture->fleet, ACCOUNT, lenders),
                     ALLOWANCE_LENDERS);
   clock_advance (fixture->node.clock, BY_LIST_US - 1);
-  assert_false (allowance_fleet_leave_list (fixture->fleet));
+  assert_false (allowance_fleet_expire_list (fixture->fleet));
   clock_advance (fixture->node.clock, 1);
-  assert_true (allowance_fleet_leave_list (fixture->fleet));
-  assert_false (allowance_fleet_leave_list (fixture->fleet));
+  assert_true (allowance_fleet_expire_list (fixture->fleet));
+  assert_false (allowance_fleet_expire_list (fixture->fleet));
   assert_int_equal (allowance_fleet_lenders (fixture->fleet, ACCOUNT, lenders), 1);
   assert_string_equal (lenders[0], "vm-own");
   teardown (fixture);
