--- a/bench/src/bench-reading.c
+++ b/bench/src/bench-reading.c
@@ -53,7 +53,7 @@
 read_ms (guint routes, guint version)
 {
   g_autoptr (GBytes) body = answer_of (routes, version);
-  StoreRaw raw = { STORE_OK, 1, body };
+  StoreRawAnswer raw = { STORE_OK, 1, body };
   StoredReading *reading =
       stored_reading_create (STORED_LISTED, &raw, &defaults, version - 1);
   double ms;
