--- a/core/include/core/absence.h
+++ b/core/include/core/absence.h
@@ -1,6 +1,7 @@
 /*
- * Nodes that the platform lists and nobody hears of: how long each has been missing, so
- * that one survivor removes what is left of those who do not come back.
+ * Nodes that the platform's list names although they are no live members. Records how
+ * long each has been missing, so that one live node removes the list entries of nodes
+ * that do not return.
  */
 #ifndef CORE_ABSENCE_H
 #define CORE_ABSENCE_H
@@ -9,16 +10,17 @@
 
 typedef struct Absences Absences;
 
-/* A node is gone for good after `patience_us` of being listed and missing. */
+/* A node counts as gone after it has been listed and missing for `patience_us`. */
 Absences *absences_create (gint64 patience_us, Clock *clock);
 void absences_destroy (Absences *absences);
 
-/* Notes that a list names a node; TRUE when it has been missing for long. */
+/* Notes that the list names a node and whether the node is missing. Returns TRUE when it
+   has been missing for `patience_us`. */
 gboolean absences_note (Absences *absences, const char *node, gboolean missing);
 
 /*
- * Whether it is for `self` to remove what is left of a node: the same one of the living
- * comes out at every node that has the same view.
+ * Returns TRUE when self is the live node that removes the list entry of `node`. Nodes
+ * with equal views agree on exactly one.
  */
 gboolean absences_is_mine (Members *members, const char *node);
 
--- a/core/include/core/directory.h
+++ b/core/include/core/directory.h
@@ -1,6 +1,6 @@
 /*
- * The targets that have registered themselves: what each node says of the target beside
- * it. The node beside a target is the authority; all others hear of it by gossip.
+ * Targets that registered themselves, as published by the nodes. The node on a target's
+ * VM is the authority for it; other nodes get the registration by gossip.
  */
 #ifndef CORE_DIRECTORY_H
 #define CORE_DIRECTORY_H
@@ -9,12 +9,12 @@
 
 typedef struct Directory Directory;
 
-/* One target, as the node beside it tells. All texts are copied. */
+/* A target as published by the node on its VM. directory_set copies the strings. */
 typedef struct
 {
-  const char *name; /* of this start of the target; a restart brings a new one */
+  const char *name; /* names this start of the target; a restart has a new one */
   const char *service;
-  const char *address; /* where its HTTP is; "" at other nodes */
+  const char *address; /* where it serves HTTP; "" at other nodes */
   guint slots;
   gboolean leaving;
 } Registration;
@@ -23,15 +23,16 @@
 void directory_destroy (Directory *directory);
 
 /*
- * Replaces what is held of the target beside `vm` in `hall`; NULL when it has none.
- * TRUE when that changed anything.
+ * Replaces the registration of the target on `vm` in `hall`; NULL removes it. Returns
+ * TRUE when something changed.
  */
 gboolean directory_set (Directory *directory,
                         const char *vm,
                         const char *hall,
                         const Registration *registration);
 
-/* The targets by service, for snapshot_with_targets; borrowed until the next change. */
+/* Returns an array of Target for each service name, for snapshot_with_targets. It is
+   borrowed and valid until the next change. */
 GHashTable *directory_targets (Directory *directory);
 
 #endif
--- a/core/include/core/members.h
+++ b/core/include/core/members.h
@@ -1,9 +1,10 @@
 /*
- * The membership of a fleet by gossip, without I/O: who is there, at which address, in
- * which incarnation. Probes go to one random member a second, mostly of the own data
- * hall, through others when it does not answer; news travels on probes and answers;
- * digests repair what got lost. No wall clock, and no clock of another node, is ever
- * compared.
+ * Gossip membership of the fleet, without I/O: the nodes with their addresses and
+ * incarnations, after the SWIM protocol. Every period a node probes one member in random
+ * order, mostly of its own data hall, and asks other members to probe it when it does not
+ * answer. Updates are piggybacked on probes and answers, and views are compared by
+ * digests to repair lost updates. Neither wall-clock time nor another node's clock is
+ * used.
  */
 #ifndef CORE_MEMBERS_H
 #define CORE_MEMBERS_H
@@ -15,34 +16,35 @@
 typedef enum
 {
   MEMBER_ALIVE,
-  MEMBER_SUSPECT, /* did not answer; still counted as there */
+  MEMBER_SUSPECT, /* did not answer a probe; still counted as alive */
   MEMBER_DEAD,
-  MEMBER_LEFT /* said good-bye */
+  MEMBER_LEFT /* announced its departure */
 } MemberStatus;
 
-/* What is known of one member. All texts are borrowed from its holder. */
+/* One member's entry in a view. Its pointers are borrowed. */
 typedef struct
 {
   const char *node;
   const char *hall;
   const char *address;
   guint64 incarnation; /* random, new with each start */
-  guint32 epoch;       /* raised by the member alone, to overrule what is said of it */
+  guint32 epoch;       /* raised only by the member itself, to overrule others */
   MemberStatus status;
-  guint32 serial;         /* of payload and state, within one epoch */
-  guint32 payload_serial; /* the serial that the payload came with */
-  GBytes *payload;        /* the member's own words that seldom change; may be NULL */
-  GBytes *state;          /* and those that change all the time; may be NULL */
+  guint32 serial;         /* version of payload and state, within one epoch */
+  guint32 payload_serial; /* the serial at which the payload last changed */
+  GBytes *payload;        /* published by the member, changes rarely; may be NULL */
+  GBytes *state;          /* published by the member, changes often; may be NULL */
 } Member;
 
 /*
- * What is new of a member whose name, addresses and payload the reader knows already. The
- * whole of a member takes some 170 bytes, and targets fall sick and recover every second.
+ * An update of a member whose name, addresses and payload the receiver already has. A
+ * full Member takes about 170 bytes on the wire, and some target's health changes every
+ * second.
  */
 typedef struct
 {
   guint32 id;          /* members_id of its name */
-  guint32 incarnation; /* the low half: tells starts and names that share an id apart */
+  guint32 incarnation; /* the low half; tells starts and equal ids apart */
   guint32 epoch;
   MemberStatus status;
   guint32 serial;
@@ -50,30 +52,30 @@
   GBytes *state; /* borrowed; may be NULL */
 } MemberBrief;
 
-/* One piece of news on a message. */
+/* One update in a message. */
 typedef struct
 {
   const Member *member;
-  gboolean brief; /* a brief will do */
+  gboolean brief; /* send only the MemberBrief */
 } MemberNews;
 
 typedef struct Members Members;
 
-/* Time spans of the protocol. */
+/* Parameters of the protocol. */
 typedef struct
 {
   gint64 period_us;    /* between probes */
-  gint64 answer_us;    /* for a direct answer, before others are asked to help */
-  guint helpers;       /* how many are asked */
-  gint64 suspicion_us; /* at ten members; grows with the logarithm of the fleet */
-  gint64 forget_us;    /* how long the dead are remembered */
+  gint64 answer_us;    /* time limit of a direct probe, before the indirect ones */
+  guint helpers;       /* members asked to probe indirectly */
+  gint64 suspicion_us; /* for ten members; grows with the logarithm of the fleet's size */
+  gint64 forget_us;    /* how long members that are dead or left are kept */
 } MembersTiming;
 
 extern const MembersTiming members_timing_default;
 
 typedef enum
 {
-  MEMBERS_PROBE,    /* ask `address` for an answer */
+  MEMBERS_PROBE,    /* probe `address` */
   MEMBERS_PROBE_VIA /* ask `address` to probe `subject` */
 } MembersActionKind;
 
@@ -82,15 +84,15 @@
   MembersActionKind kind;
   char *address;
   char *subject;  /* a node's name; NULL when a seed without a name is probed */
-  guint sequence; /* to be given back with the answer */
+  guint sequence; /* passed to members_answered with the answer */
 } MembersAction;
 
 void members_action_free (MembersAction *action);
 
-/* Told of each member whose status, incarnation, address or payload has changed. */
+/* Called for each other member that was added or whose entry has changed. */
 typedef void (*MembersChanged) (const Member *member, gpointer data);
 
-/* `self` gives node, hall, address and incarnation. `seeds` are addresses. */
+/* Copies node, hall, address and incarnation from `self`. `seeds` are addresses. */
 Members *members_create (const Member *self,
                          const char *const *seeds,
                          const MembersTiming *timing,
@@ -99,84 +101,91 @@
 void members_destroy (Members *members);
 void members_set_changed (Members *members, MembersChanged changed, gpointer data);
 
-/* When members_tick wants to be called next. */
+/* Returns when members_tick is due next. */
 gint64 members_next_tick_us (const Members *members);
-/* Carries the protocol on; returns MembersActions, which the caller frees. */
+/* Runs the steps of the protocol that are due. The caller carries out and frees the
+   returned array of MembersAction. */
 GPtrArray *members_tick (Members *members);
 
 /*
- * An answer to the probe of that number has come from a node, which is the one that was
- * probed or one that was asked to help. From any other: see members_taken_over.
+ * Notes that node `from` has answered the probe with this sequence number. Until other
+ * members have been asked to probe the subject, an answer from another node than the
+ * subject has the effect of members_taken_over.
  */
 void members_answered (Members *members, guint sequence, const char *from);
 
 /*
- * Another node answers at a member's address, so that the member is gone: VMs that are
- * replaced leave their addresses to others. Without this it would be held alive for as
- * long as the other one answers.
+ * Marks a member as dead because another node answers at its address, which happens when
+ * a VM is replaced. Otherwise the member would count as alive for as long as the other
+ * node answers.
  */
 void members_taken_over (Members *members, const char *node);
 
-/* Takes in what another says of a member. TRUE when it was news. */
+/* Merges another node's entry of a member into the view. Returns TRUE when it was newer,
+   or when it made self raise its own epoch. */
 gboolean members_merge (Members *members, const Member *rumour);
 
-/* Likewise of a brief; one about an unknown member, or one with another payload than the
-   one that is held, is passed over: digests mend what it would have said. */
+/* The same for a brief. One about an unknown member or about another payload than the
+   held one is ignored; a comparison of views repairs the difference. */
 gboolean members_merge_brief (Members *members, const MemberBrief *brief);
 
-/* A brief about a member. */
+/* The brief's state is borrowed from `member`. */
 MemberBrief members_brief (const Member *member);
 
 /*
- * News to put on a message to `to` (may be NULL), at most `max_bytes` by the estimate
- * of members_weight; an array of MemberNews, borrowed until the next call on `members`.
- * The sender itself comes first, and what is known of `to` where it differs from `to`'s
- * own words.
+ * Returns the updates to send in a message to `to` (may be NULL), at most `max_bytes` by
+ * the estimate of members_weight, as an array of MemberNews that is borrowed until the
+ * next call. The updates of self and of third members count as sent. Self comes first,
+ * then `to` itself if this view holds it suspect, dead, left or in another incarnation,
+ * so that it can overrule that.
  */
 const GArray *members_news (Members *members, const char *to, gsize max_bytes);
 
-/* About how many bytes a piece of news takes on the wire. */
+/* Estimates the bytes that an update takes on the wire. */
 gsize members_weight (const MemberNews *news);
 
-/* A member's digest has come: whether the views are to be compared now. */
+/* Notes the digest that the node `with` has sent. Returns TRUE when the caller should
+   compare views with it now. */
 gboolean members_compare_due (Members *members, const char *with, guint64 digest);
 
-/* Digests of the view: of all of it, and by bucket. Equal views have equal digests. */
+/* Digests of the live members of the view: of all, and by bucket. Equal views have equal
+   digests. */
 guint64 members_digest (const Members *members);
 void members_buckets (const Members *members, guint64 buckets[MEMBERS_BUCKETS]);
-/* The members in buckets that differ from `buckets`: in all that are empty there, as a
-   new node's are, and in a few of the others, from a random one on; borrowed. */
+/* Returns the members in the buckets that differ from `buckets`: in all buckets that are
+   empty there, as a new node's are, and in a few others from a random one on. Borrowed
+   until the next call. */
 GPtrArray *members_differing (Members *members, const guint64 buckets[MEMBERS_BUCKETS]);
 
 const Member *members_self (const Members *members);
 const Member *members_find (const Members *members, const char *node);
-/* All that are known, self and the dead too; borrowed. */
+/* Returns all known Members, with self and the dead; borrowed until the next call. */
 GPtrArray *members_all (Members *members);
-/* Members alive or suspect, self included. */
+/* Counts the members that are alive or suspect, including self. */
 guint members_count_alive (const Members *members);
-/* Whether any member that is not known dead was heard of besides self. */
+/* Whether the member is alive or suspect. */
 gboolean members_is_alive (const Member *member);
 
-/* What a member is called in briefs, and ranked by: a hash of its name. */
+/* A hash of the name, which identifies the member in a MemberBrief and orders members. */
 guint32 members_id (const char *node);
 
-/* Whether self has only just started: it may know few of the others. */
+/* Whether self started less than 8 s ago and may know only part of the fleet. */
 gboolean members_is_young (const Members *members);
 
-/* How many live members of the own hall come before self in an order by a hash of their
-   names, which all that see them agree on without a word. */
+/* Counts the live members of the own hall that precede self in the order of members_id.
+   Nodes with equal views get consistent ranks without communication. */
 guint members_rank_in_hall (const Members *members);
 
-/* Data halls with a live member, self's included. */
+/* Counts the data halls that have a live member, including self's. */
 guint members_count_halls (const Members *members);
 
-/* Whether a member is of the same data hall as self. */
 gboolean members_in_own_hall (const Members *members, const Member *member);
 
-/* Replaces self's payload and state; what differs is spread. */
+/* Replaces self's payload and state, of which it takes references, and schedules an
+   update when one of them has changed. */
 void members_set_words (Members *members, GBytes *payload, GBytes *state);
 
-/* Marks self as left; the news goes out with the messages that follow. */
+/* Marks self as left and schedules an update for the messages that follow. */
 void members_leave (Members *members);
 
 #endif
--- a/core/src/member/absence.c
+++ b/core/src/member/absence.c
@@ -48,7 +48,7 @@
   return FALSE;
 }
 
-/* Rendezvous hashing: how strongly a living node stands for a missing one. */
+/* The weight of a live node for a missing one, for rendezvous hashing. */
 static guint
 claim (const char *living, const char *missing)
 {
--- a/core/src/member/directory.c
+++ b/core/src/member/directory.c
@@ -4,10 +4,10 @@
 
 struct Directory
 {
-  GHashTable *by_vm;    /* vm → Target, with its service in `services` */
+  GHashTable *by_vm;    /* vm → Target */
   GHashTable *services; /* vm → service name */
   GHashTable *targets;  /* service → GPtrArray of Target, borrowed from `by_vm` */
-  gboolean changed;     /* since `targets` was made */
+  gboolean changed;     /* since `targets` was built */
 };
 
 Directory *
@@ -115,7 +115,7 @@
 GHashTable *
 directory_targets (Directory *directory)
 {
-  /* Once for all registrations that came since. */
+  /* Rebuilt here so that several registrations in a row cost one rebuild. */
   if (directory->changed)
     index_targets (directory);
   return directory->targets;
--- a/core/src/member/members-compare.c
+++ b/core/src/member/members-compare.c
@@ -1,17 +1,19 @@
 #include "members-private.h"
 
-/* Views are compared in full no more often than this: with nodes of the own hall, and
-   with others, whose bytes are dear and whom a hall of its own hears through others. */
+/* Minimum time between view comparisons, with nodes of the own hall and with nodes of
+   other halls. Traffic between halls is expensive, and the nodes of a hall get the
+   updates of other halls from each other. */
 #define EVERY_US (10 * SECOND_US)
 #define FAR_EVERY_US (30 * SECOND_US)
-/* A digest that differs once may only be news on its way. */
+/* Consecutive differing digests before a comparison: a single one may only mean that an
+   update is still on its way. */
 #define MISMATCHES 3u
-/* A node is young for so long after its start: as long as the users' callers stay away.
- */
+/* A node counts as young for this time after its start, during which callers do not use
+   it yet. */
 #define YOUNG_US (8 * SECOND_US)
 #define YOUNG_EVERY_US (300 * MS_US)
 #define YOUNG_FAR_EVERY_US SECOND_US
-/* So many nodes of a hall compare views with other halls while they are young. */
+/* Young nodes per hall that compare views with other halls at the short interval. */
 #define CARRIERS 2u
 
 gboolean
@@ -20,17 +22,17 @@
   return clock_now (members->clock) - members->began_us < YOUNG_US;
 }
 
-/* How soon a view that differs is compared. */
+/* When a differing view is compared. */
 typedef struct
 {
-  guint mismatches; /* in a row */
-  gint64 every_us;
+  guint mismatches; /* required consecutive ones */
+  gint64 every_us;  /* minimum time between comparisons */
 } Pace;
 
 /*
- * A node that has just started compares its view at the first difference, within its
- * hall; with other halls only a few nodes of each hall do, and the others have it from
- * them.
+ * A young node compares its view with nodes of its hall at the first difference. With
+ * other halls only the first CARRIERS nodes of each hall do so; the others get the result
+ * from them.
  */
 static Pace
 pace_of (const Members *members, gboolean near)
--- a/core/src/member/members-news.c
+++ b/core/src/member/members-news.c
@@ -2,10 +2,11 @@
 
 #include <string.h>
 
-/* So many buckets of an asker that has something in them are compared at once. While
-   targets fall sick and recover all views differ all the time: a view of 1,200 members,
-   some 150 KB, every ten seconds would be five times what control may cost; an eighth of
-   it, 2 KB a second at the most, mends what news has missed in a minute or two. */
+/* Differing buckets sent per comparison, not counting those that are empty at the
+   requester. Views differ permanently while targets' health changes: a full view of 1,200
+   members, about 150 KB, every ten seconds would be five times the budget of control
+   traffic. An eighth of it, at most 2 KB/s, repairs lost updates within one or two
+   minutes. */
 #define DIFFERING_MAX 8u
 
 gsize
@@ -51,8 +52,9 @@
   return TRUE;
 }
 
-/* Whether self has been introduced to the receiver's present start; notes that it is.
-   What gets lost, others tell, and digests mend. */
+/* Returns whether self has been sent in full to this incarnation of the receiver, and
+   notes that it is now. If the message is lost, updates from other nodes and view
+   comparisons repair it. */
 static gboolean
 introduced (MemberRecord *receiver)
 {
@@ -82,7 +84,8 @@
   add_news (news, members->self, introduced (receiver) && members->self->full_left == 0,
             &room);
   count_send (members->self);
-  /* A member that is held suspect, dead or another must hear of it, to overrule it. */
+  /* A receiver that is suspect, dead, left or of another incarnation in this view must
+     learn of it to overrule it. */
   if (receiver && receiver != members->self &&
       (receiver->member.status != MEMBER_ALIVE || receiver->contested))
     add_news (news, receiver, FALSE, &room);
--- a/core/src/member/members-private.h
+++ b/core/src/member/members-private.h
@@ -1,28 +1,29 @@
 /*
- * What the files of the membership share: members.c its life and what it takes in,
- * members-probe.c probing and suspicion, members-news.c what it tells,
- * members-compare.c when views are compared.
+ * Shared by the files of the membership: members.c creates it and merges updates,
+ * members-probe.c probes members and handles suspicion, members-news.c selects the
+ * updates to send and the buckets that differ, members-compare.c decides when to compare
+ * views.
  */
 #ifndef CORE_MEMBERS_PRIVATE_H
 #define CORE_MEMBERS_PRIVATE_H
 
 #include "table.h"
 
-/* A probe that waits for its answer. */
+/* A pending probe. */
 typedef struct
 {
   guint sequence;
   char *node;
-  gint64 help_due_us;
-  gint64 due_us;
-  gboolean helped;
+  gint64 help_due_us; /* when other members are asked to probe the node */
+  gint64 due_us;      /* when the node becomes suspect */
+  gboolean helped;    /* other members have been asked */
 } Probe;
 
-/* Comparisons of views with nodes of one kind. */
+/* State of the view comparisons, kept for nodes of the own hall and for all others. */
 typedef struct
 {
-  guint mismatches; /* digests in a row that differed */
-  gint64 at_us;     /* the last comparison; 0 for none */
+  guint mismatches; /* consecutive digests that differed */
+  gint64 at_us;     /* time of the last comparison; 0 for none */
 } Comparison;
 
 struct Members
@@ -33,27 +34,29 @@
   MembersTiming timing;
   GRand *rand;
   Clock *clock;
-  GPtrArray *round;   /* names of the own hall left to probe in this round */
-  GPtrArray *distant; /* likewise of other halls */
+  GPtrArray *round;   /* names of the own hall still to probe in this round */
+  GPtrArray *distant; /* the same for other halls */
   GArray *probes;     /* of Probe */
   guint sequence;
   gint64 next_probe_us;
   guint periods;
   gint64 began_us;
-  Comparison comparisons[2]; /* with other halls' nodes, and with this hall's */
-  GPtrArray *borrowed;       /* what the last query handed out */
-  GArray *news;              /* what members_news handed out */
+  Comparison comparisons[2]; /* [0] with nodes of other halls, [1] of the own hall */
+  GPtrArray *borrowed;       /* result of the last query */
+  GArray *news;              /* result of the last members_news */
   MembersChanged changed;
   gpointer changed_data;
 };
 
-/* Has a record's news told to the others, in full where they may not know the member. */
+/* Schedules a record's update for sending: also in full sends if `full`, for receivers
+   that may not know the member or its payload. */
 void members_spread (Members *members, MemberRecord *record, gboolean full);
 
-/* Changes what is held of a member, and tells it. */
+/* Changes a member's status in this view, schedules the update and reports the change. */
 void members_set_status (Members *members, MemberRecord *record, MemberStatus status);
 
-/* About the logarithm of the fleet: how far news has to go. */
+/* The decimal logarithm of the number of live members plus one, which the sends of an
+   update and the suspicion time scale with. */
 double members_fleet_log (const Members *members);
 
 #endif
--- a/core/src/member/members-probe.c
+++ b/core/src/member/members-probe.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-/* A dead member or a seed is tried about once in so many periods, to mend partitions. */
+/* Periods between probes of a dead member or an unknown seed, which heal partitions. */
 #define REVIVE_PERIODS 10
-/* One probe in so many goes to another hall. */
+/* One probe in this many goes to another hall. */
 #define DISTANT_PERIODS 4
 
 void
@@ -28,7 +28,8 @@
     }
 }
 
-/* The names of a new round, in an order that no other node shares. */
+/* Fills a new round with the names of the own hall's members, or of the others', in
+   random order. */
 static void
 refill (Members *members, GPtrArray *round, gboolean own_hall)
 {
@@ -46,7 +47,7 @@
   shuffle (round, members->rand);
 }
 
-/* The next member of a round that lives; NULL when there is none. */
+/* Returns the next live member of a round; NULL when there is none. */
 static MemberRecord *
 next_of_round (Members *members, GPtrArray *round, gboolean own_hall)
 {
@@ -72,9 +73,9 @@
 }
 
 /*
- * Every member of the own hall is probed once in a round of its own, and every other one
- * in a longer one: bytes between halls are the dear ones, and each member has others in
- * its own hall that watch it.
+ * Members of the own hall and members of other halls are probed in separate rounds. The
+ * round of other halls takes longer, because traffic between halls is expensive and each
+ * member is also probed from within its own hall.
  */
 static MemberRecord *
 next_subject (Members *members)
@@ -122,7 +123,7 @@
                                            record->member.node, probe.sequence));
 }
 
-/* Members that could carry a probe to `subject`, at random. */
+/* Asks random live members to probe `subject`. */
 static void
 ask_helpers (Members *members,
              const MemberRecord *subject,
@@ -148,7 +149,7 @@
     }
 }
 
-/* One that the fleet has lost, or a seed that nobody has heard of. */
+/* Probes a random dead member or a seed whose address is unknown in the view. */
 static void
 try_to_revive (Members *members, GPtrArray *actions)
 {
@@ -269,7 +270,7 @@
 
       if (probe->sequence != sequence)
         continue;
-      /* Helpers answer in their own name. */
+      /* An indirect probe is answered under the helper's name. */
       if (!probe->helped && strcmp (probe->node, from) != 0)
         members_taken_over (members, probe->node);
       g_array_remove_index_fast (members->probes, i);
--- a/core/src/member/members.c
+++ b/core/src/member/members.c
@@ -3,14 +3,14 @@
 #include <math.h>
 #include <string.h>
 
-/* How often one piece of news is sent, times the logarithm of the fleet. */
+/* Sends of an update by one node, times 3 log10 (members + 1) + 1. */
 #define SPREAD_FACTOR 2
-/* So many of them in full, at the most: who then knows of a member tells others, and
-   views are compared. While 30 nodes join each other, whole members are nine tenths of
-   what they tell: with as many as of briefs they were 690 kB between three halls. */
+/* At most this many sends are in full; the nodes that received one send it on, and view
+   comparisons repair the rest. While 30 nodes join, full updates are nine tenths of the
+   gossip bytes; without this limit they were 690 kB between three halls. */
 #define FULL_SENDS 8u
-/* Whoever sends a piece of news that is known here already will not be the last to know:
-   it counts for so many sends of our own. */
+/* An update that arrives and is already known counts as this many own sends, because
+   others are spreading it too. */
 #define ECHO_SENDS 2u
 
 const MembersTiming members_timing_default = {
@@ -100,7 +100,7 @@
     record->full_left = MIN (record->sends_left, FULL_SENDS);
 }
 
-/* Raises self over whatever has been said of it. */
+/* Raises self's epoch above `epoch`, so that its own update wins. */
 static void
 overrule (Members *members, guint32 epoch)
 {
@@ -123,7 +123,7 @@
   return TRUE;
 }
 
-/* Whether `rumour` says something newer than what is held (of the same node). */
+/* Whether `rumour` is newer than the held entry of the same node. */
 static gboolean
 is_newer (const Member *rumour, const Member *held)
 {
@@ -142,7 +142,7 @@
   record->status_since_us = clock_now (members->clock);
 }
 
-/* Whether briefs about a member will not do for those who know what was held of it. */
+/* Whether a receiver that has the held entry needs the full update instead of a brief. */
 static gboolean
 is_unlike (const Member *rumour, const Member *held)
 {
@@ -151,12 +151,12 @@
          strcmp (rumour->address, held->address) != 0;
 }
 
-/* What has come is older than what is held, or the same. */
+/* Handles an update that is older than the held entry or equal to it. */
 static void
 note_echo (MemberRecord *record, const Member *rumour)
 {
-  /* A restart that nobody noticed starts over at the first epoch, and may lose to what is
-     held; it is told so, and overrules it. */
+  /* A node that restarted unnoticed begins at epoch 1 again, and its update can lose to
+     the entry of its previous start. It receives that entry and overrules it. */
   record->contested |= rumour->incarnation != record->member.incarnation;
   if (rumour->epoch == record->member.epoch && rumour->status == record->member.status &&
       rumour->serial == record->member.serial)
@@ -171,12 +171,14 @@
 {
   MemberRecord *record;
 
-  /* What has been forgotten must not come back by way of those who forget later. */
+  /* Nodes drop dead members at different times: one that is unknown here may have been
+     dropped already and must not return. */
   if (!members_is_alive (rumour))
     return FALSE;
   record = members_table_put (members->table, rumour);
   note_status_time (members, record);
-  /* What a young node learns the others know, or compare their views as it does. */
+  /* Members that a young node learns of are known to the others, or reach them when they
+     compare views as it does. */
   if (!members_is_young (members))
     members_spread (members, record, TRUE);
   tell_changed (members, record);
@@ -307,7 +309,7 @@
   return strcmp (member->hall, members->self->member.hall) == 0;
 }
 
-/* Whether two texts say the same; nothing and an empty one do. */
+/* Whether both have the same bytes; NULL equals empty. */
 static gboolean
 is_same (GBytes *held, GBytes *fresh)
 {
--- a/core/src/member/table.c
+++ b/core/src/member/table.c
@@ -5,7 +5,7 @@
 struct MembersTable
 {
   GHashTable *records; /* node → MemberRecord */
-  GHashTable *by_id;   /* id → MemberRecord: of those that share one, the last put */
+  GHashTable *by_id;   /* id → MemberRecord; the last inserted one of an id */
   guint64 buckets[MEMBERS_BUCKETS];
 };
 
@@ -79,7 +79,7 @@
   return record;
 }
 
-/* The finalizer of MurmurHash3 (public domain): spreads each bit over all of them. */
+/* The finalizer of MurmurHash3 (public domain): every bit of x affects the result. */
 static guint64
 mix (guint64 x)
 {
@@ -95,7 +95,8 @@
 {
   guint64 hash = mix (g_str_hash (member->node));
 
-  /* The dead are forgotten at different times; a view is the same without them. */
+  /* Nodes drop dead members at different times; views that differ only by them count as
+     equal. */
   if (!members_is_alive (member))
     return 0;
   hash = mix (hash ^ member->incarnation);
@@ -132,7 +133,7 @@
   Member old = record->member;
 
   copy_member (&record->member, member);
-  /* The table's key is the name that the record was put with. */
+  /* The hash table's key is the name string of the record when it was inserted. */
   g_free ((char *)record->member.node);
   record->member.node = old.node;
   g_free ((char *)old.hall);
