--- a/core/include/core/clock.h
+++ b/core/include/core/clock.h
@@ -1,7 +1,7 @@
 /*
- * The runtime's clock: microseconds that never go back, which tests pause and advance.
- * They count the time for which the machine is suspended. Never wall-clock time, and
- * never compared between nodes.
+ * Monotonic clock in microseconds, which includes the time for which the machine is
+ * suspended. Tests use a manual clock that they advance. It is not wall-clock time, and
+ * readings of different nodes must not be compared.
  */
 #ifndef CORE_CLOCK_H
 #define CORE_CLOCK_H
@@ -13,24 +13,25 @@
 
 typedef struct Clock Clock;
 
-/* The machine's time since it was started. */
+/* A clock that counts from the boot of the machine. */
 Clock *clock_create_boottime (void);
 
-/* A clock that stands at `now_us` until it is told to move. */
+/* A clock that stands at `now_us` until clock_advance. */
 Clock *clock_create_manual (gint64 now_us);
 
 void clock_destroy (Clock *clock);
 
-/* Microseconds since an arbitrary origin; never goes back. */
+/* Returns microseconds since an arbitrary origin; they never decrease. */
 gint64 clock_now (Clock *clock);
 
-/* Processor time that the calling thread has used, in microseconds. */
+/* Returns the processor time of the calling thread in microseconds. */
 gint64 clock_thread_cpu (void);
 
-/* Moves a manual clock forward; the machine's ignores it. */
+/* Moves a manual clock forward; has no effect on a boot-time clock. */
 void clock_advance (Clock *clock, gint64 by_us);
 
-/* Lets each reading of a manual clock move it on, as time passes between two looks. */
+/* Makes each reading of a manual clock advance it, as time passes between two readings of
+   a real one. */
 void clock_set_step (Clock *clock, gint64 step_us);
 
 #endif
--- a/core/include/core/names.h
+++ b/core/include/core/names.h
@@ -1,5 +1,5 @@
 /*
- * What the operators' names may look like, and how long they may be.
+ * Validation of names and addresses in settings and configuration.
  */
 #ifndef CORE_NAMES_H
 #define CORE_NAMES_H
@@ -8,16 +8,16 @@
 
 #define NAME_MAX_LEN 63
 
-/* A required member that must be a name: letters, digits, '.', '_' and '-'. */
+/* Reads a required name: letters, digits, '.', '_' and '-', at most NAME_MAX_LEN bytes.
+   Notes a fault and returns "" when it is missing or invalid. */
 const char *names_required (JsonView *view, const char *key);
 
-/* Whether `text` is a name. */
 gboolean names_valid (const char *text);
 
-/* Whether `text` is an IPv4 number with a port. */
+/* Whether `text` is an IPv4 address and a port, "127.0.0.1:80". */
 gboolean names_address_valid (const char *text);
 
-/* A required member that must be an address. */
+/* Reads a required address; faults are handled as in names_required. */
 const char *names_required_address (JsonView *view, const char *key);
 
 #endif
--- a/core/include/core/pack.h
+++ b/core/include/core/pack.h
@@ -1,5 +1,5 @@
 /*
- * Texts packed for the way between nodes (raw deflate).
+ * Compression of texts that nodes send each other (raw deflate).
  */
 #ifndef CORE_PACK_H
 #define CORE_PACK_H
@@ -8,7 +8,7 @@
 
 GBytes *pack_text (GBytes *text);
 
-/* NULL when it does not unpack, or to more than `most` bytes. */
+/* Returns NULL when `packed` is malformed or expands to more than `most` bytes. */
 GBytes *pack_open (GBytes *packed, gsize most);
 
 #endif
--- a/core/src/base/clock.c
+++ b/core/src/base/clock.c
@@ -14,8 +14,8 @@
   gint64 step_us;
 };
 
-/* GLib's monotonic time leaves out the time for which the machine is suspended: a node
-   would take leases and loans of before for fresh. */
+/* GLib's monotonic time leaves out the time for which the machine is suspended: after a
+   suspension a node would treat leases and allowance grants as still valid. */
 static gint64
 now_boottime (Clock *clock)
 {
--- a/core/src/base/histogram.c
+++ b/core/src/base/histogram.c
@@ -4,7 +4,7 @@
 
 #define SUB_BITS 3u
 #define SUBS (1u << SUB_BITS)
-/* Spans of up to 2^32 microseconds, over an hour. */
+/* Durations up to 2^32 microseconds, more than an hour. */
 #define POWERS 30u
 #define BUCKETS (SUBS * POWERS)
 
@@ -15,7 +15,7 @@
   guint32 buckets[BUCKETS];
 };
 
-/* Below SUBS each value has a bucket; above, each power of two has SUBS of them. */
+/* Each value below SUBS has its own bucket; above, each power of two has SUBS buckets. */
 static guint
 bucket_of (gint64 span_us)
 {
--- a/core/src/base/json-view.c
+++ b/core/src/base/json-view.c
@@ -3,7 +3,7 @@
 #include <stdarg.h>
 #include <string.h>
 
-/* A hostile text is not listed to its end. */
+/* Bounds the memory for faults of a malicious text. */
 #define FAULTS_MAX 100u
 
 struct JsonFaults
@@ -13,10 +13,10 @@
 
 struct JsonView
 {
-  JsonNode *root; /* owned for a parsed text, else NULL */
+  JsonNode *root; /* a reference if the view was parsed from a text, else NULL */
   JsonObject *object;
   char *path;
-  GHashTable *asked;
+  GHashTable *asked; /* keys that were read */
   JsonFaults *faults;
 };
 
@@ -150,7 +150,7 @@
   return view->faults;
 }
 
-/* A member that is null is as one that is left out. */
+/* Returns a member and marks its key as read. A member that is null counts as missing. */
 static JsonNode *
 ask (JsonView *view, const char *key)
 {
@@ -204,7 +204,7 @@
       fault_at (view, key, what);
     }
   else
-    fault_at (view, key, "must hold no control characters");
+    fault_at (view, key, "must be UTF-8 text without control characters");
   return NULL;
 }
 
@@ -281,7 +281,8 @@
           json_node_get_value_type (node) == G_TYPE_DOUBLE);
 }
 
-/* A member that is a number; NULL where it is missing, or a fault. */
+/* Returns a member that is a number; NULL when it is missing, and with a fault when it is
+   of another type. */
 static JsonNode *
 ask_number (JsonView *view, const char *key)
 {
@@ -306,7 +307,7 @@
   value = json_node_get_double (node);
   if (value >= (double)max)
     return max;
-  /* A number that is no number compares as false, and is the least. */
+  /* NaN compares as false and gives `min`. */
   return value > (double)min ? (gint64)value : min;
 }
 
--- a/core/src/base/names.c
+++ b/core/src/base/names.c
@@ -16,7 +16,7 @@
   return TRUE;
 }
 
-/* A text that is there and passes `is_valid`; "" where it is not, with a fault. */
+/* Reads a required string that passes `is_valid`; else notes a fault and returns "". */
 static const char *
 required (JsonView *view,
           const char *key,
--- a/core/src/base/pack.c
+++ b/core/src/base/pack.c
@@ -2,11 +2,12 @@
 
 #include <gio/gio.h>
 
-/* The quickest: a shard of routes shrinks to a seventh with it. */
+/* The fastest level; it compresses a shard of routes to one seventh. */
 #define PACK_LEVEL 1
 #define PACK_STEP 16384u
 
-/* Everything that `converter` makes of `from`; NULL when it fails or makes too much. */
+/* Returns the whole output of `converter` for `from`; NULL when it fails or the output
+   exceeds `most` bytes. */
 static GBytes *
 convert (GConverter *converter, GBytes *from, gsize most)
 {
