--- a/daemon/tests/test-account-stats.c
+++ b/daemon/tests/test-account-stats.c
@@ -1,4 +1,5 @@
-/* Counts of client accounts: the busiest by name, the rest together, and bounded. */
+/* Metrics of client accounts: the busiest accounts are counted by name, the others
+ * together, so that the number of series is bounded. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/daemon/tests/test-allowance-fleet.c
+++ b/daemon/tests/test-allowance-fleet.c
@@ -1,4 +1,5 @@
-/* Who lends, by the platform's list after a start and by the members after it. */
+/* Selection of allowance lenders: from the platform's list after a start, later from the
+ * live members. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,7 +11,7 @@
 
 #define OTHERS 20u
 #define ACCOUNT "acme"
-/* So long a node goes by the list. */
+/* A node uses the list for this time after its start. */
 #define BY_LIST_US (3 * SECOND_US)
 
 typedef struct
@@ -73,7 +74,7 @@
 
   assert_true (allowance_fleet_share (fixture->fleet, ACCOUNT) == 0);
   clock_advance (fixture->node.clock, SECOND_US);
-  /* It knows nobody else: then it is the one that lends. */
+  /* It knows no other node and therefore is the only lender. */
   assert_true (allowance_fleet_share (fixture->fleet, ACCOUNT) == 1);
   teardown (fixture);
 }
@@ -98,7 +99,8 @@
   teardown (fixture);
 }
 
-/* A list of several pages is read anew while requests go by the one before. */
+/* A list of several pages is read again while requests still use the lenders of the
+ * previous reading: their names must stay valid. */
 static void
 test_a_list_that_is_read_again_leaves_the_lenders_valid (void **state)
 {
--- a/daemon/tests/test-config-sync.c
+++ b/daemon/tests/test-config-sync.c
@@ -1,4 +1,4 @@
-/* When nodes read their configuration, on a clock of the test's. */
+/* Times at which nodes read their configuration, on a manual clock. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,7 +10,7 @@
 #define NODES 100u
 #define SPAN_S 120u
 #define STEP_US (100 * MS_US)
-/* What may read in one second, of those that started together. */
+/* Nodes of those started together that may read within one second. */
 #define TENTH (NODES / 10)
 #define POLLED_WITHIN_US (90 * SECOND_US)
 
@@ -26,12 +26,12 @@
   Clock *clock;
   Loop *loop;
   Reader readers[NODES];
-  guint reads[SPAN_S]; /* of all, in each second */
+  guint reads[SPAN_S]; /* by all nodes, per second */
   gint64 began_us;
-  guint polled_in_time; /* nodes with a second reading by then */
+  guint polled_in_time; /* nodes that read again within POLLED_WITHIN_US */
 } Fixture;
 
-/* The store of a fleet in which nothing is configured, and its count of readings. */
+/* Stands for a store that holds no configuration, and counts the reads. */
 static Fixture *fixture;
 
 static gpointer
@@ -67,7 +67,7 @@
   done (&nothing, data);
 }
 
-/* Nothing ever changes, so it is never answered. */
+/* Never answers, because the configuration never changes. */
 static void
 source_watch (gpointer source, ConfigReadDone done, gpointer data)
 {
@@ -83,7 +83,7 @@
                                      source_watch,  source_part,    TRUE };
 static const Adapter adapter = { .config = &source };
 
-/* Passes the time instead of waiting. */
+/* Advances the clock instead of letting the loop wait. */
 static gint64
 pass_time (gpointer data)
 {
@@ -146,11 +146,11 @@
 }
 
 /*
- * 79 nodes that had started together all read their configuration of 4,200 routes from
- * the store in the same second a minute later, although it was unchanged: the first wait
- * before the poll was the same for all. 31.7 MB left the store in that second, and 111 of
- * 189 requests were late, for each node was busy with what it had read: 145 ms of
- * processor time, 1.5 s at a tenth of a core.
+ * Guards against polls in step. 79 nodes that started together all read their unchanged
+ * configuration of 4,200 routes in the same second a minute later, because their first
+ * wait before a poll was equal. The store sent 31.7 MB in that second, and 111 of 189
+ * requests were late, because each node spent 145 ms of processor time on the
+ * configuration, 1.5 s at a tenth of a core.
  */
 static void
 test_nodes_that_start_together_poll_apart (void **state)
@@ -158,7 +158,7 @@
   guint most = 0;
 
   loop_run (fixture->loop);
-  /* Each has to read once when it starts. */
+  /* Each node reads once when it starts. */
   assert_int_equal (fixture->reads[0], NODES);
   for (guint second = 1; second < SPAN_S; second++)
     most = MAX (most, fixture->reads[second]);
--- a/daemon/tests/test-credentials.c
+++ b/daemon/tests/test-credentials.c
@@ -1,4 +1,4 @@
-/* Access keys as callers may send them: what is a key, and what is none. */
+/* Parsing of access keys in callers' requests: accepted and rejected forms. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/daemon/tests/test-holds.c
+++ b/daemon/tests/test-holds.c
@@ -1,5 +1,5 @@
-/* Slots held for requests of other halls: exact, for the attempt that asked, and not for
- * long. */
+/* Slots held for requests from other halls: at most the target's slots, taken only by the
+ * attempt that asked, and released after a timeout. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -68,7 +68,7 @@
   assert_false (sidecar_holds_take (fixture.holds, fixture.target, &other));
   assert_true (sidecar_holds_take (fixture.holds, fixture.target, &asked));
   assert_false (sidecar_holds_take (fixture.holds, fixture.target, &asked));
-  /* The slot is the caller's, and time takes nothing back that was taken. */
+  /* A slot that was taken belongs to the caller and does not expire. */
   clock_advance (fixture.clock, SECOND_US);
   sidecar_holds_expire (fixture.holds);
   assert_int_equal (admission_in_use (fixture.target->admission), 1);
--- a/daemon/tests/test-traffic.c
+++ b/daemon/tests/test-traffic.c
@@ -1,4 +1,4 @@
-/* Bytes sent to other nodes: counted by kind and by hall, and told to operators. */
+/* Counts of bytes sent to other nodes, by kind and by hall, and their metrics. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -60,7 +60,7 @@
   teardown (&fixture);
 }
 
-/* A request that was refused is found to be one only when the refusal comes. */
+/* Bytes of a request count as requests until its refusal arrives. */
 static void
 test_bytes_can_be_counted_anew (void **state)
 {
