--- a/core/src/member/members-compare.c
+++ b/core/src/member/members-compare.c
@@ -8,12 +8,12 @@
 /* Consecutive differing digests before a comparison: a single one may only mean that an
    update is still on its way. */
 #define MISMATCHES 3u
-/* A node counts as young for this time after its start, during which callers do not use
-   it yet. */
+/* A node counts as starting up for this time, during which callers do not use it yet. */
 #define YOUNG_US (8 * SECOND_US)
 #define YOUNG_EVERY_US (300 * MS_US)
 #define YOUNG_FAR_EVERY_US SECOND_US
-/* Young nodes per hall that compare views with other halls at the short interval. */
+/* Nodes per hall that, while starting up, compare views with other halls at the short
+   interval. */
 #define CARRIERS 2u
 
 gboolean
@@ -30,9 +30,9 @@
 } Pace;
 
 /*
- * A young node compares its view with nodes of its hall at the first difference. With
- * other halls only the first CARRIERS nodes of each hall do so; the others get the result
- * from them.
+ * A node that is starting up compares its view with nodes of its hall at the first
+ * difference. With other halls only the first CARRIERS nodes of each hall do so; the
+ * others get the result from them.
  */
 static Pace
 pace_of (const Members *members, gboolean near)
--- a/core/src/member/members.c
+++ b/core/src/member/members.c
@@ -177,8 +177,8 @@
     return FALSE;
   record = members_table_put (members->table, rumour);
   note_status_time (members, record);
-  /* Members that a young node learns of are known to the others, or reach them when they
-     compare views as it does. */
+  /* Members that a starting node learns of are known to the others, or reach them when
+     they compare views as it does. */
   if (!members_is_young (members))
     members_spread (members, record, TRUE);
   tell_changed (members, record);
