--- a/core/include/core/members.h
+++ b/core/include/core/members.h
@@ -67,7 +67,7 @@
   gint64 period_us;    /* between probes */
   gint64 answer_us;    /* time limit of a direct probe, before the indirect ones */
   guint helpers;       /* members asked to probe indirectly */
-  gint64 suspicion_us; /* for ten members; grows with the logarithm of the fleet's size */
+  gint64 suspicion_us; /* for ten members; scales with log10 of the fleet's size */
   gint64 forget_us;    /* how long members that are dead or left are kept */
 } MembersTiming;
 
