--- a/bench/src/allowance-net-private.h
+++ b/bench/src/allowance-net-private.h
@@ -17,7 +17,7 @@
 #define TIMEOUT_US (60 * MS_US)
 #define LENDER_SILENT_SKIP_US (500 * MS_US)
 #define NOT_LENDER_SKIP_US (50 * MS_US)
-#define YOUNG_US SECOND_US
+#define STARTUP_US SECOND_US
 #define MOST_KEPT_US (30 * SECOND_US)
 /* When trouble begins, how long it lasts, and how long until it is known. */
 #define TROUBLE_S 20u
--- a/bench/src/allowance-net.c
+++ b/bench/src/allowance-net.c
@@ -146,12 +146,13 @@
 {
   guint places[ALLOWANCE_LENDERS];
   guint count = lenders_of (sim, lender, places);
-  gint64 since = MAX (sim->changed_us[lender->hall != 0], lender->started_us + YOUNG_US);
+  gint64 since =
+      MAX (sim->changed_us[lender->hall != 0], lender->started_us + STARTUP_US);
   gboolean own = FALSE;
 
   for (guint i = 0; i < count; i++)
     own |= &sim->nodes[places[i]] == lender;
-  if (!own || clock_now (sim->clock) - lender->started_us < YOUNG_US)
+  if (!own || clock_now (sim->clock) - lender->started_us < STARTUP_US)
     return FALSE;
   *grant = allowance_book_lend (lender->book, "acme", &lender->terms,
                                 seen_share (sim, lender) / count, since, wanted);
--- a/bench/src/member-net.c
+++ b/bench/src/member-net.c
@@ -97,10 +97,10 @@
 static void
 take (Members *members, const MemberNews *news)
 {
-  MemberBrief brief = members_brief (news->member);
+  MemberDelta delta = members_delta (news->member);
 
-  if (news->brief)
-    members_merge_brief (members, &brief);
+  if (news->delta)
+    members_merge_delta (members, &delta);
   else
     members_merge (members, news->member);
 }
@@ -111,12 +111,12 @@
 {
   NetNode *sender = &net->nodes[from];
   g_autofree char *name = g_strdup_printf ("node-%u", to);
-  const GArray *news = members_news (sender->members, name, NEWS_MAX);
+  const GArray *news = members_next_news (sender->members, name, NEWS_MAX);
 
   sender->messages++;
   count_sent (net, from, to, MESSAGE_BYTES);
   for (guint i = 0; i < news->len; i++)
-    count_sent (net, from, to, members_weight (&g_array_index (news, MemberNews, i)));
+    count_sent (net, from, to, members_news_size (&g_array_index (news, MemberNews, i)));
   if (!passes (net, from, to))
     return FALSE;
   for (guint i = 0; i < news->len; i++)
@@ -155,7 +155,7 @@
     {
       MemberNews whole = { g_ptr_array_index (differing, j), FALSE };
 
-      count_sent (net, with, i, members_weight (&whole));
+      count_sent (net, with, i, members_news_size (&whole));
       members_merge (node->members, g_ptr_array_index (differing, j));
     }
 }
--- a/bench/tests/test-members.c
+++ b/bench/tests/test-members.c
@@ -147,7 +147,7 @@
 }
 
 static void
-expect_words (MemberNet *net, GBytes *payload, GBytes *state)
+expect_published (MemberNet *net, GBytes *payload, GBytes *state)
 {
   for (guint i = 0; i < NODES; i++)
     {
@@ -161,19 +161,19 @@
 }
 
 static void
-test_words_reach_everyone (void **test_state)
+test_published_data_reaches_all_members (void **test_state)
 {
   MemberNet *net = joined (6);
   g_autoptr (GBytes) payload = g_bytes_new ("target", 6);
   g_autoptr (GBytes) sick = g_bytes_new ("sick", 4);
   g_autoptr (GBytes) well = g_bytes_new ("well", 4);
 
-  members_set_words (net->nodes[11].members, payload, sick);
+  members_publish (net->nodes[11].members, payload, sick);
   member_net_run (net, 12);
-  expect_words (net, payload, sick);
-  members_set_words (net->nodes[11].members, payload, well);
+  expect_published (net, payload, sick);
+  members_publish (net->nodes[11].members, payload, well);
   member_net_run (net, 12);
-  expect_words (net, payload, well);
+  expect_published (net, payload, well);
   member_net_destroy (net);
 }
 
@@ -190,51 +190,51 @@
 /* 60 nodes whose targets change their state each second: in full, each change would be
    sent some 8 times by each node, at 170 bytes, two thirds of it between halls. */
 static void
-test_changes_of_state_are_told_in_brief (void **test_state)
+test_state_changes_are_sent_as_deltas (void **test_state)
 {
   MemberNet *net = joined (13);
   g_autoptr (GBytes) payload = g_bytes_new ("target", 6);
   guint64 before;
 
   for (guint i = 0; i < NODES; i++)
-    members_set_words (net->nodes[i].members, payload, NULL);
+    members_publish (net->nodes[i].members, payload, NULL);
   member_net_run (net, 20);
   before = far_bytes (net);
   for (guint second = 0; second < 20; second++)
     {
       g_autoptr (GBytes) state = g_bytes_new (&second, sizeof second);
 
-      members_set_words (net->nodes[second].members, payload, state);
+      members_publish (net->nodes[second].members, payload, state);
       member_net_run (net, 1);
     }
   assert_in_range (far_bytes (net) - before, 1, 20 * NODES * 8 * 170 / 4);
   member_net_destroy (net);
 }
 
-/* A name that another's brief could be taken for, and a payload that is not held. */
+/* A name that another's delta could be taken for, and a payload that is not held. */
 static void
-test_briefs_that_do_not_fit_are_passed_over (void **test_state)
+test_mismatched_deltas_are_ignored (void **test_state)
 {
   MemberNet *net = joined (14);
   Members *members = net->nodes[0].members;
   const Member *held = members_find (members, "node-5");
   g_autoptr (GBytes) state = g_bytes_new ("sick", 4);
-  MemberBrief brief = members_brief (held);
-
-  brief.state = state;
-  brief.serial++;
-  brief.incarnation++;
-  assert_false (members_merge_brief (members, &brief));
-  brief.incarnation--;
-  brief.payload_serial++;
-  assert_false (members_merge_brief (members, &brief));
-  brief.payload_serial--;
-  brief.id++;
-  assert_false (members_merge_brief (members, &brief));
-  brief.id--;
-  assert_true (members_merge_brief (members, &brief));
+  MemberDelta delta = members_delta (held);
+
+  delta.state = state;
+  delta.serial++;
+  delta.incarnation++;
+  assert_false (members_merge_delta (members, &delta));
+  delta.incarnation--;
+  delta.payload_serial++;
+  assert_false (members_merge_delta (members, &delta));
+  delta.payload_serial--;
+  delta.id++;
+  assert_false (members_merge_delta (members, &delta));
+  delta.id--;
+  assert_true (members_merge_delta (members, &delta));
   assert_true (g_bytes_equal (members_find (members, "node-5")->state, state));
-  assert_false (members_merge_brief (members, &brief));
+  assert_false (members_merge_delta (members, &delta));
   member_net_destroy (net);
 }
 
@@ -263,9 +263,9 @@
     cmocka_unit_test (test_frozen_node_overrules_its_death_when_it_thaws),
     cmocka_unit_test (test_one_way_cut_between_two_kills_nobody),
     cmocka_unit_test (test_hall_goes_for_an_hour_and_comes_back),
-    cmocka_unit_test (test_words_reach_everyone),
-    cmocka_unit_test (test_changes_of_state_are_told_in_brief),
-    cmocka_unit_test (test_briefs_that_do_not_fit_are_passed_over),
+    cmocka_unit_test (test_published_data_reaches_all_members),
+    cmocka_unit_test (test_state_changes_are_sent_as_deltas),
+    cmocka_unit_test (test_mismatched_deltas_are_ignored),
     cmocka_unit_test (test_heavy_loss_kills_nobody_for_long),
   };
 
--- a/core/include/core/absence.h
+++ b/core/include/core/absence.h
@@ -10,18 +10,18 @@
 
 typedef struct Absences Absences;
 
-/* A node counts as gone after it has been listed and missing for `patience_us`. */
-Absences *absences_create (gint64 patience_us, Clock *clock);
+/* A node counts as gone after it has been listed and missing for `absence_limit_us`. */
+Absences *absences_create (gint64 absence_limit_us, Clock *clock);
 void absences_destroy (Absences *absences);
 
 /* Notes that the list names a node and whether the node is missing. Returns TRUE when it
-   has been missing for `patience_us`. */
+   has been missing for `absence_limit_us`. */
 gboolean absences_note (Absences *absences, const char *node, gboolean missing);
 
 /*
  * Returns TRUE when self is the live node that removes the list entry of `node`. Nodes
  * with equal views agree on exactly one.
  */
-gboolean absences_is_mine (Members *members, const char *node);
+gboolean absences_is_responsible (Members *members, const char *node);
 
 #endif
--- a/core/include/core/allowance.h
+++ b/core/include/core/allowance.h
@@ -49,7 +49,7 @@
   double burst; /* requests at once beyond that rate */
 } AllowanceTerms;
 
-/* A token bucket's refill rate and capacity, in requests. */
+/* A token bucket's start_round rate and capacity, in requests. */
 typedef struct
 {
   double per_s;
--- a/core/include/core/json-view.h
+++ b/core/include/core/json-view.h
@@ -58,7 +58,7 @@
  * Reads a number from a system that may send other values than ours: rounds a fraction
  * down and clamps the value to the range. Only a member that is no number is a fault.
  */
-gint64 json_view_floor (
+gint64 json_view_clamped_int (
     JsonView *view, const char *key, gint64 min, gint64 max, gint64 fallback);
 double json_view_double (
     JsonView *view, const char *key, double min, double max, double fallback);
--- a/core/include/core/json-write.h
+++ b/core/include/core/json-write.h
@@ -19,6 +19,6 @@
 void json_put_double (GString *text, const char *name, double value);
 void json_put_bool (GString *text, const char *name, gboolean value);
 /* Appends a string element to the text of an array. */
-void json_put_text (GString *text, const char *value);
+void json_put_element (GString *text, const char *value);
 
 #endif
--- a/core/include/core/members.h
+++ b/core/include/core/members.h
@@ -50,13 +50,13 @@
   guint32 serial;
   guint32 payload_serial;
   GBytes *state; /* borrowed; may be NULL */
-} MemberBrief;
+} MemberDelta;
 
 /* One update in a message. */
 typedef struct
 {
   const Member *member;
-  gboolean brief; /* send only the MemberBrief */
+  gboolean delta; /* send only the MemberDelta */
 } MemberNews;
 
 typedef struct Members Members;
@@ -64,11 +64,12 @@
 /* Parameters of the protocol. */
 typedef struct
 {
-  gint64 period_us;    /* between probes */
-  gint64 answer_us;    /* time limit of a direct probe, before the indirect ones */
-  guint helpers;       /* members asked to probe indirectly */
-  gint64 suspicion_us; /* for ten members; scales with log10 of the fleet's size */
-  gint64 forget_us;    /* how long members that are dead or left are kept */
+  gint64 period_us;         /* between probes */
+  gint64 direct_timeout_us; /* time limit of a direct probe, before the indirect ones */
+  guint indirect_probes;    /* members asked to probe indirectly */
+  gint64
+      suspicion_timeout_us; /* for ten members; scales with log10 of the fleet's size */
+  gint64 dead_retention_us; /* how long members that are dead or left are kept */
 } MembersTiming;
 
 extern const MembersTiming members_timing_default;
@@ -90,7 +91,7 @@
 void members_action_free (MembersAction *action);
 
 /* Called for each other member that was added or whose entry has changed. */
-typedef void (*MembersChanged) (const Member *member, gpointer data);
+typedef void (*MembersChangedFunc) (const Member *member, gpointer data);
 
 /* Copies node, hall, address and incarnation from `self`. `seeds` are addresses. */
 Members *members_create (const Member *self,
@@ -99,7 +100,7 @@
                          GRand *rand,
                          Clock *clock);
 void members_destroy (Members *members);
-void members_set_changed (Members *members, MembersChanged changed, gpointer data);
+void members_set_changed (Members *members, MembersChangedFunc changed, gpointer data);
 
 /* Returns when members_tick is due next. */
 gint64 members_next_tick_us (const Members *members);
@@ -110,7 +111,7 @@
 /*
  * Notes that node `from` has answered the probe with this sequence number. Until other
  * members have been asked to probe the subject, an answer from another node than the
- * subject has the effect of members_taken_over.
+ * subject has the effect of members_mark_replaced.
  */
 void members_answered (Members *members, guint sequence, const char *from);
 
@@ -119,30 +120,30 @@
  * a VM is replaced. Otherwise the member would count as alive for as long as the other
  * node answers.
  */
-void members_taken_over (Members *members, const char *node);
+void members_mark_replaced (Members *members, const char *node);
 
 /* Merges another node's entry of a member into the view. Returns TRUE when it was newer,
    or when it made self raise its own epoch. */
 gboolean members_merge (Members *members, const Member *rumour);
 
-/* The same for a brief. One about an unknown member or about another payload than the
+/* The same for a delta. One about an unknown member or about another payload than the
    held one is ignored; a comparison of views repairs the difference. */
-gboolean members_merge_brief (Members *members, const MemberBrief *brief);
+gboolean members_merge_delta (Members *members, const MemberDelta *delta);
 
-/* The brief's state is borrowed from `member`. */
-MemberBrief members_brief (const Member *member);
+/* The delta's state is borrowed from `member`. */
+MemberDelta members_delta (const Member *member);
 
 /*
  * Returns the updates to send in a message to `to` (may be NULL), at most `max_bytes` by
- * the estimate of members_weight, as an array of MemberNews that is borrowed until the
+ * the estimate of members_news_size, as an array of MemberNews that is borrowed until the
  * next call. The updates of self and of third members count as sent. Self comes first,
  * then `to` itself if this view holds it suspect, dead, left or in another incarnation,
  * so that it can overrule that.
  */
-const GArray *members_news (Members *members, const char *to, gsize max_bytes);
+const GArray *members_next_news (Members *members, const char *to, gsize max_bytes);
 
 /* Estimates the bytes that an update takes on the wire. */
-gsize members_weight (const MemberNews *news);
+gsize members_news_size (const MemberNews *news);
 
 /* Notes the digest that the node `with` has sent. Returns TRUE when the caller should
    compare views with it now. */
@@ -166,11 +167,11 @@
 /* Whether the member is alive or suspect. */
 gboolean members_is_alive (const Member *member);
 
-/* A hash of the name, which identifies the member in a MemberBrief and orders members. */
+/* A hash of the name, which identifies the member in a MemberDelta and orders members. */
 guint32 members_id (const char *node);
 
 /* Whether self started less than 8 s ago and may know only part of the fleet. */
-gboolean members_is_young (const Members *members);
+gboolean members_is_starting_up (const Members *members);
 
 /* Counts the live members of the own hall that precede self in the order of members_id.
    Nodes with equal views get consistent ranks without communication. */
@@ -183,7 +184,7 @@
 
 /* Replaces self's payload and state, of which it takes references, and schedules an
    update when one of them has changed. */
-void members_set_words (Members *members, GBytes *payload, GBytes *state);
+void members_publish (Members *members, GBytes *payload, GBytes *state);
 
 /* Marks self as left and schedules an update for the messages that follow. */
 void members_leave (Members *members);
--- a/core/include/core/pack.h
+++ b/core/include/core/pack.h
@@ -6,9 +6,9 @@
 
 #include <glib.h>
 
-GBytes *pack_text (GBytes *text);
+GBytes *pack_compress (GBytes *text);
 
 /* Returns NULL when `packed` is malformed or expands to more than `most` bytes. */
-GBytes *pack_open (GBytes *packed, gsize most);
+GBytes *pack_decompress (GBytes *packed, gsize most);
 
 #endif
--- a/core/src/base/histogram.c
+++ b/core/src/base/histogram.c
@@ -3,10 +3,10 @@
 #include <string.h>
 
 #define SUB_BITS 3u
-#define SUBS (1u << SUB_BITS)
+#define SUB_BUCKETS (1u << SUB_BITS)
 /* Durations up to 2^32 microseconds, more than an hour. */
 #define POWERS 30u
-#define BUCKETS (SUBS * POWERS)
+#define BUCKETS (SUB_BUCKETS * POWERS)
 
 struct Histogram
 {
@@ -15,17 +15,19 @@
   guint32 buckets[BUCKETS];
 };
 
-/* Each value below SUBS has its own bucket; above, each power of two has SUBS buckets. */
+/* Each value below SUB_BUCKETS has its own bucket; above, each power of two has
+ * SUB_BUCKETS buckets. */
 static guint
 bucket_of (gint64 span_us)
 {
   guint64 value = (guint64)MAX (span_us, 0);
   guint power;
 
-  if (value < SUBS)
+  if (value < SUB_BUCKETS)
     return (guint)value;
   power = 63u - (guint)__builtin_clzll (value) - SUB_BITS;
-  return MIN ((power + 1) * SUBS + (guint)((value >> power) & (SUBS - 1)), BUCKETS - 1);
+  return MIN ((power + 1) * SUB_BUCKETS + (guint)((value >> power) & (SUB_BUCKETS - 1)),
+              BUCKETS - 1);
 }
 
 static gint64
@@ -33,10 +35,10 @@
 {
   guint power;
 
-  if (bucket < SUBS)
+  if (bucket < SUB_BUCKETS)
     return bucket;
-  power = bucket / SUBS - 1;
-  return ((gint64)(SUBS + bucket % SUBS + 1) << power) - 1;
+  power = bucket / SUB_BUCKETS - 1;
+  return ((gint64)(SUB_BUCKETS + bucket % SUB_BUCKETS + 1) << power) - 1;
 }
 
 Histogram *
--- a/core/src/base/json-view.c
+++ b/core/src/base/json-view.c
@@ -295,7 +295,8 @@
 }
 
 gint64
-json_view_floor (JsonView *view, const char *key, gint64 min, gint64 max, gint64 fallback)
+json_view_clamped_int (
+    JsonView *view, const char *key, gint64 min, gint64 max, gint64 fallback)
 {
   JsonNode *node = ask_number (view, key);
   double value;
--- a/core/src/base/json-write.c
+++ b/core/src/base/json-write.c
@@ -90,7 +90,7 @@
 }
 
 void
-json_put_text (GString *text, const char *value)
+json_put_element (GString *text, const char *value)
 {
   put_comma (text);
   put_quoted (text, value);
--- a/core/src/base/pack.c
+++ b/core/src/base/pack.c
@@ -35,7 +35,7 @@
 }
 
 GBytes *
-pack_text (GBytes *text)
+pack_compress (GBytes *text)
 {
   g_autoptr (GZlibCompressor) packer =
       g_zlib_compressor_new (G_ZLIB_COMPRESSOR_FORMAT_RAW, PACK_LEVEL);
@@ -44,7 +44,7 @@
 }
 
 GBytes *
-pack_open (GBytes *packed, gsize most)
+pack_decompress (GBytes *packed, gsize most)
 {
   g_autoptr (GZlibDecompressor) opener =
       g_zlib_decompressor_new (G_ZLIB_COMPRESSOR_FORMAT_RAW);
--- a/core/src/config/account.c
+++ b/core/src/config/account.c
@@ -131,7 +131,7 @@
   g_autofree char *code = g_base64_encode (key->digest, CONFIG_KEY_DIGEST_LEN);
   g_autofree char *words = g_strconcat (code, " ", key->account, NULL);
 
-  json_put_text (text, words);
+  json_put_element (text, words);
 }
 
 static gint
--- a/core/src/config/part.c
+++ b/core/src/config/part.c
@@ -275,14 +275,14 @@
 config_part_packed (ConfigPart *part)
 {
   if (!part->packed)
-    part->packed = pack_text (part->text);
+    part->packed = pack_compress (part->text);
   return part->packed;
 }
 
 ConfigPart *
 config_part_parse_packed (const char *key, GBytes *packed, JsonFaults *faults)
 {
-  g_autoptr (GBytes) text = pack_open (packed, CONFIG_PART_MAX);
+  g_autoptr (GBytes) text = pack_decompress (packed, CONFIG_PART_MAX);
   ConfigPart *part;
 
   if (!text)
--- a/core/src/config/route.c
+++ b/core/src/config/route.c
@@ -215,11 +215,11 @@
   json_put_key (text, "methods");
   g_string_append_c (text, '[');
   if (route->methods == ROUTE_METHODS_ANY)
-    json_put_text (text, METHOD_ANY);
+    json_put_element (text, METHOD_ANY);
   else
     for (guint i = 0; method_names[i]; i++)
       if (route->methods & 1u << i)
-        json_put_text (text, method_names[i]);
+        json_put_element (text, method_names[i]);
   g_string_append_c (text, ']');
 }
 
--- a/core/src/member/absence.c
+++ b/core/src/member/absence.c
@@ -4,17 +4,17 @@
 
 struct Absences
 {
-  gint64 patience_us;
+  gint64 absence_limit_us;
   Clock *clock;
   GHashTable *since; /* node → gint64 *, when it was first found missing */
 };
 
 Absences *
-absences_create (gint64 patience_us, Clock *clock)
+absences_create (gint64 absence_limit_us, Clock *clock)
 {
   Absences *absences = g_new0 (Absences, 1);
 
-  absences->patience_us = patience_us;
+  absences->absence_limit_us = absence_limit_us;
   absences->clock = clock;
   absences->since = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return absences;
@@ -41,7 +41,7 @@
       return FALSE;
     }
   if (since)
-    return now - *since >= absences->patience_us;
+    return now - *since >= absences->absence_limit_us;
   since = g_new (gint64, 1);
   *since = now;
   g_hash_table_insert (absences->since, g_strdup (node), since);
@@ -50,7 +50,7 @@
 
 /* The weight of a live node for a missing one, for rendezvous hashing. */
 static guint
-claim (const char *living, const char *missing)
+rendezvous_weight (const char *living, const char *missing)
 {
   g_autofree char *both = g_strconcat (living, " ", missing, NULL);
 
@@ -58,10 +58,10 @@
 }
 
 gboolean
-absences_is_mine (Members *members, const char *node)
+absences_is_responsible (Members *members, const char *node)
 {
   const Member *self = members_self (members);
-  guint own = claim (self->node, node);
+  guint own = rendezvous_weight (self->node, node);
   GPtrArray *all = members_all (members);
 
   for (guint i = 0; i < all->len; i++)
@@ -70,8 +70,9 @@
 
       if (member == self || !members_is_alive (member))
         continue;
-      if (claim (member->node, node) < own ||
-          (claim (member->node, node) == own && strcmp (member->node, self->node) < 0))
+      if (rendezvous_weight (member->node, node) < own ||
+          (rendezvous_weight (member->node, node) == own &&
+           strcmp (member->node, self->node) < 0))
         return FALSE;
     }
   return TRUE;
--- a/core/src/member/directory.c
+++ b/core/src/member/directory.c
@@ -69,7 +69,9 @@
 }
 
 static Target *
-target_of (const char *vm, const char *hall, const Registration *registration)
+target_from_registration (const char *vm,
+                          const char *hall,
+                          const Registration *registration)
 {
   Target *target = g_new0 (Target, 1);
 
@@ -101,7 +103,7 @@
       g_hash_table_insert (directory->services, g_strdup (vm),
                            g_strdup (registration->service));
       g_hash_table_insert (directory->by_vm, g_strdup (vm),
-                           target_of (vm, hall, registration));
+                           target_from_registration (vm, hall, registration));
     }
   else
     {
--- a/core/src/member/members-compare.c
+++ b/core/src/member/members-compare.c
@@ -7,19 +7,19 @@
 #define FAR_EVERY_US (30 * SECOND_US)
 /* Consecutive differing digests before a comparison: a single one may only mean that an
    update is still on its way. */
-#define MISMATCHES 3u
+#define MISMATCHES_MIN 3u
 /* A node counts as starting up for this time, during which callers do not use it yet. */
-#define YOUNG_US (8 * SECOND_US)
-#define YOUNG_EVERY_US (300 * MS_US)
-#define YOUNG_FAR_EVERY_US SECOND_US
+#define STARTUP_US (8 * SECOND_US)
+#define STARTUP_EVERY_US (300 * MS_US)
+#define STARTUP_FAR_EVERY_US SECOND_US
 /* Nodes per hall that, while starting up, compare views with other halls at the short
    interval. */
-#define CARRIERS 2u
+#define CROSS_HALL_NODES 2u
 
 gboolean
-members_is_young (const Members *members)
+members_is_starting_up (const Members *members)
 {
-  return clock_now (members->clock) - members->began_us < YOUNG_US;
+  return clock_now (members->clock) - members->began_us < STARTUP_US;
 }
 
 /* When a differing view is compared. */
@@ -31,19 +31,19 @@
 
 /*
  * A node that is starting up compares its view with nodes of its hall at the first
- * difference. With other halls only the first CARRIERS nodes of each hall do so; the
- * others get the result from them.
+ * difference. With other halls only the first CROSS_HALL_NODES nodes of each hall do so;
+ * the others get the result from them.
  */
 static Pace
 pace_of (const Members *members, gboolean near)
 {
-  gboolean young = members_is_young (members);
+  gboolean young = members_is_starting_up (members);
 
   if (young && near)
-    return (Pace){ 1, YOUNG_EVERY_US };
-  if (young && members_rank_in_hall (members) < CARRIERS)
-    return (Pace){ 1, YOUNG_FAR_EVERY_US };
-  return (Pace){ MISMATCHES, near ? EVERY_US : FAR_EVERY_US };
+    return (Pace){ 1, STARTUP_EVERY_US };
+  if (young && members_rank_in_hall (members) < CROSS_HALL_NODES)
+    return (Pace){ 1, STARTUP_FAR_EVERY_US };
+  return (Pace){ MISMATCHES_MIN, near ? EVERY_US : FAR_EVERY_US };
 }
 
 gboolean
--- a/core/src/member/members-news.c
+++ b/core/src/member/members-news.c
@@ -7,17 +7,17 @@
    members, about 150 KB, every ten seconds would be five times the budget of control
    traffic. An eighth of it, at most 2 KB/s, repairs lost updates within one or two
    minutes. */
-#define DIFFERING_MAX 8u
+#define DIFFERING_BUCKETS_MAX 8u
 
 gsize
-members_weight (const MemberNews *news)
+members_news_size (const MemberNews *news)
 {
   const Member *member = news->member;
   gsize payload = member->payload ? g_bytes_get_size (member->payload) : 0;
   gsize state = member->state ? g_bytes_get_size (member->state) : 0;
 
   /* Six numbers and a length. */
-  if (news->brief)
+  if (news->delta)
     return 24 + 4 + state;
   /* Six numbers, one of them long, five lengths, and up to three bytes of padding to each
      text. */
@@ -25,10 +25,10 @@
          strlen (member->address) + payload + state;
 }
 
-MemberBrief
-members_brief (const Member *member)
+MemberDelta
+members_delta (const Member *member)
 {
-  MemberBrief brief = { members_id (member->node),
+  MemberDelta delta = { members_id (member->node),
                         (guint32)member->incarnation,
                         member->epoch,
                         member->status,
@@ -36,14 +36,14 @@
                         member->payload_serial,
                         member->state };
 
-  return brief;
+  return delta;
 }
 
 static gboolean
-add_news (GArray *news, MemberRecord *record, gboolean brief, gsize *room)
+add_news (GArray *news, MemberRecord *record, gboolean delta, gsize *room)
 {
-  MemberNews item = { &record->member, brief };
-  gsize weight = members_weight (&item);
+  MemberNews item = { &record->member, delta };
+  gsize weight = members_news_size (&item);
 
   if (weight > *room)
     return FALSE;
@@ -69,11 +69,11 @@
 count_send (MemberRecord *record)
 {
   record->sends_left -= MIN (record->sends_left, 1);
-  record->full_left -= MIN (record->full_left, 1);
+  record->full_sends_left -= MIN (record->full_sends_left, 1);
 }
 
 const GArray *
-members_news (Members *members, const char *to, gsize max_bytes)
+members_next_news (Members *members, const char *to, gsize max_bytes)
 {
   GArray *news = members->news;
   MemberRecord *receiver = to ? members_table_find (members->table, to) : NULL;
@@ -81,22 +81,22 @@
   gsize room = max_bytes;
 
   g_array_set_size (news, 0);
-  add_news (news, members->self, introduced (receiver) && members->self->full_left == 0,
-            &room);
+  add_news (news, members->self,
+            introduced (receiver) && members->self->full_sends_left == 0, &room);
   count_send (members->self);
   /* A receiver that is suspect, dead, left or of another incarnation in this view must
      learn of it to overrule it. */
   if (receiver && receiver != members->self &&
       (receiver->member.status != MEMBER_ALIVE || receiver->contested))
     add_news (news, receiver, FALSE, &room);
-  members_table_fresh (members->table, fresh);
+  members_table_pending (members->table, fresh);
   for (guint i = 0; i < fresh->len; i++)
     {
       MemberRecord *record = g_ptr_array_index (fresh, i);
 
       if (record == members->self || record == receiver)
         continue;
-      if (!add_news (news, record, record->full_left == 0, &room))
+      if (!add_news (news, record, record->full_sends_left == 0, &room))
         break;
       count_send (record);
     }
@@ -136,7 +136,7 @@
 
       if (own[i] == buckets[i] || own[i] == 0)
         continue;
-      if (buckets[i] == 0 || differing++ < DIFFERING_MAX)
+      if (buckets[i] == 0 || differing++ < DIFFERING_BUCKETS_MAX)
         members_table_bucket (members->table, i, members->borrowed);
     }
   return members->borrowed;
--- a/core/src/member/members-private.h
+++ b/core/src/member/members-private.h
@@ -14,9 +14,9 @@
 {
   guint sequence;
   char *node;
-  gint64 help_due_us; /* when other members are asked to probe the node */
-  gint64 due_us;      /* when the node becomes suspect */
-  gboolean helped;    /* other members have been asked */
+  gint64 indirect_due_us; /* when other members are asked to probe the node */
+  gint64 due_us;          /* when the node becomes suspect */
+  gboolean indirect_sent; /* other members have been asked */
 } Probe;
 
 /* State of the view comparisons, kept for nodes of the own hall and for all others. */
@@ -34,23 +34,23 @@
   MembersTiming timing;
   GRand *rand;
   Clock *clock;
-  GPtrArray *round;   /* names of the own hall still to probe in this round */
-  GPtrArray *distant; /* the same for other halls */
-  GArray *probes;     /* of Probe */
+  GPtrArray *round;        /* names of the own hall still to probe in this round */
+  GPtrArray *remote_round; /* the same for other halls */
+  GArray *probes;          /* of Probe */
   guint sequence;
   gint64 next_probe_us;
   guint periods;
   gint64 began_us;
   Comparison comparisons[2]; /* [0] with nodes of other halls, [1] of the own hall */
   GPtrArray *borrowed;       /* result of the last query */
-  GArray *news;              /* result of the last members_news */
-  MembersChanged changed;
+  GArray *news;              /* result of the last members_next_news */
+  MembersChangedFunc changed;
   gpointer changed_data;
 };
 
 /* Schedules a record's update for sending: also in full sends if `full`, for receivers
    that may not know the member or its payload. */
-void members_spread (Members *members, MemberRecord *record, gboolean full);
+void members_disseminate (Members *members, MemberRecord *record, gboolean full);
 
 /* Changes a member's status in this view, schedules the update and reports the change. */
 void members_set_status (Members *members, MemberRecord *record, MemberStatus status);
--- a/core/src/member/members-probe.c
+++ b/core/src/member/members-probe.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 /* Periods between probes of a dead member or an unknown seed, which heal partitions. */
-#define REVIVE_PERIODS 10
+#define DEAD_PROBE_PERIODS 10
 /* One probe in this many goes to another hall. */
-#define DISTANT_PERIODS 4
+#define REMOTE_PERIODS 4
 
 void
 members_action_free (MembersAction *action)
@@ -31,7 +31,7 @@
 /* Fills a new round with the names of the own hall's members, or of the others', in
    random order. */
 static void
-refill (Members *members, GPtrArray *round, gboolean own_hall)
+start_round (Members *members, GPtrArray *round, gboolean own_hall)
 {
   g_autoptr (GPtrArray) names = g_ptr_array_new_with_free_func (g_free);
 
@@ -49,7 +49,7 @@
 
 /* Returns the next live member of a round; NULL when there is none. */
 static MemberRecord *
-next_of_round (Members *members, GPtrArray *round, gboolean own_hall)
+next_alive_in_round (Members *members, GPtrArray *round, gboolean own_hall)
 {
   gboolean refilled = FALSE;
 
@@ -60,7 +60,7 @@
 
       if (round->len == 0 && !refilled)
         {
-          refill (members, round, own_hall);
+          start_round (members, round, own_hall);
           refilled = TRUE;
         }
       if (round->len == 0)
@@ -80,18 +80,18 @@
 static MemberRecord *
 next_subject (Members *members)
 {
-  gboolean far_first = members->periods % DISTANT_PERIODS == 0;
+  gboolean remote_first = members->periods % REMOTE_PERIODS == 0;
   MemberRecord *record;
 
-  if (far_first)
-    record = next_of_round (members, members->distant, FALSE);
+  if (remote_first)
+    record = next_alive_in_round (members, members->remote_round, FALSE);
   else
-    record = next_of_round (members, members->round, TRUE);
+    record = next_alive_in_round (members, members->round, TRUE);
   if (record)
     return record;
-  if (far_first)
-    return next_of_round (members, members->round, TRUE);
-  return next_of_round (members, members->distant, FALSE);
+  if (remote_first)
+    return next_alive_in_round (members, members->round, TRUE);
+  return next_alive_in_round (members, members->remote_round, FALSE);
 }
 
 static MembersAction *
@@ -116,7 +116,7 @@
   Probe probe = { .sequence = ++members->sequence,
                   .node = g_strdup (record->member.node) };
 
-  probe.help_due_us = now + members->timing.answer_us;
+  probe.indirect_due_us = now + members->timing.direct_timeout_us;
   probe.due_us = now + members->timing.period_us;
   g_array_append_val (members->probes, probe);
   g_ptr_array_add (actions, action_create (MEMBERS_PROBE, record->member.address,
@@ -125,17 +125,17 @@
 
 /* Asks random live members to probe `subject`. */
 static void
-ask_helpers (Members *members,
-             const MemberRecord *subject,
-             guint sequence,
-             GPtrArray *actions)
+request_indirect_probes (Members *members,
+                         const MemberRecord *subject,
+                         guint sequence,
+                         GPtrArray *actions)
 {
   g_autoptr (GPtrArray) names = g_ptr_array_new_with_free_func (g_free);
   guint asked = 0;
 
   members_table_names (members->table, names);
   shuffle (names, members->rand);
-  for (guint i = 0; i < names->len && asked < members->timing.helpers; i++)
+  for (guint i = 0; i < names->len && asked < members->timing.indirect_probes; i++)
     {
       MemberRecord *record =
           members_table_find (members->table, g_ptr_array_index (names, i));
@@ -151,7 +151,7 @@
 
 /* Probes a random dead member or a seed whose address is unknown in the view. */
 static void
-try_to_revive (Members *members, GPtrArray *actions)
+probe_dead_or_seed (Members *members, GPtrArray *actions)
 {
   g_autoptr (GPtrArray) addresses = g_ptr_array_new ();
   const char *address;
@@ -178,10 +178,10 @@
       Probe *probe = &g_array_index (members->probes, Probe, i);
       MemberRecord *record = members_table_find (members->table, probe->node);
 
-      if (record && !probe->helped && now >= probe->help_due_us)
+      if (record && !probe->indirect_sent && now >= probe->indirect_due_us)
         {
-          probe->helped = TRUE;
-          ask_helpers (members, record, probe->sequence, actions);
+          probe->indirect_sent = TRUE;
+          request_indirect_probes (members, record, probe->sequence, actions);
         }
       if (now < probe->due_us)
         continue;
@@ -192,10 +192,10 @@
 }
 
 static void
-check_records (Members *members)
+expire_records (Members *members)
 {
   gint64 now = clock_now (members->clock);
-  gint64 suspicion = (gint64)((double)members->timing.suspicion_us *
+  gint64 suspicion = (gint64)((double)members->timing.suspicion_timeout_us *
                               MAX (members_fleet_log (members), 1.0));
   g_autoptr (GPtrArray) names = g_ptr_array_new_with_free_func (g_free);
 
@@ -210,7 +210,8 @@
         continue;
       if (record->member.status == MEMBER_SUSPECT && age >= suspicion)
         members_set_status (members, record, MEMBER_DEAD);
-      else if (!members_is_alive (&record->member) && age >= members->timing.forget_us)
+      else if (!members_is_alive (&record->member) &&
+               age >= members->timing.dead_retention_us)
         members_table_remove (members->table, record);
     }
 }
@@ -227,11 +228,11 @@
     {
       MemberRecord *subject = next_subject (members);
 
-      check_records (members);
+      expire_records (members);
       if (subject)
         start_probe (members, subject, actions);
-      if (!subject || members->periods % REVIVE_PERIODS == 0)
-        try_to_revive (members, actions);
+      if (!subject || members->periods % DEAD_PROBE_PERIODS == 0)
+        probe_dead_or_seed (members, actions);
       members->periods++;
       members->next_probe_us = now + members->timing.period_us;
     }
@@ -247,13 +248,13 @@
     {
       const Probe *probe = &g_array_index (members->probes, Probe, i);
 
-      next = MIN (next, probe->helped ? probe->due_us : probe->help_due_us);
+      next = MIN (next, probe->indirect_sent ? probe->due_us : probe->indirect_due_us);
     }
   return next;
 }
 
 void
-members_taken_over (Members *members, const char *node)
+members_mark_replaced (Members *members, const char *node)
 {
   MemberRecord *record = members_table_find (members->table, node);
 
@@ -271,8 +272,8 @@
       if (probe->sequence != sequence)
         continue;
       /* An indirect probe is answered under the helper's name. */
-      if (!probe->helped && strcmp (probe->node, from) != 0)
-        members_taken_over (members, probe->node);
+      if (!probe->indirect_sent && strcmp (probe->node, from) != 0)
+        members_mark_replaced (members, probe->node);
       g_array_remove_index_fast (members->probes, i);
       return;
     }
--- a/core/src/member/members.c
+++ b/core/src/member/members.c
@@ -4,21 +4,21 @@
 #include <string.h>
 
 /* Sends of an update by one node, times 3 log10 (members + 1) + 1. */
-#define SPREAD_FACTOR 2
+#define DISSEMINATION_FACTOR 2
 /* At most this many sends are in full; the nodes that received one send it on, and view
    comparisons repair the rest. While 30 nodes join, full updates are nine tenths of the
    gossip bytes; without this limit they were 690 kB between three halls. */
-#define FULL_SENDS 8u
+#define FULL_SENDS_MAX 8u
 /* An update that arrives and is already known counts as this many own sends, because
    others are spreading it too. */
-#define ECHO_SENDS 2u
+#define DUPLICATE_SENDS 2u
 
 const MembersTiming members_timing_default = {
   .period_us = SECOND_US,
-  .answer_us = 350 * MS_US,
-  .helpers = 3,
-  .suspicion_us = 4 * SECOND_US,
-  .forget_us = 7200 * SECOND_US,
+  .direct_timeout_us = 350 * MS_US,
+  .indirect_probes = 3,
+  .suspicion_timeout_us = 4 * SECOND_US,
+  .dead_retention_us = 7200 * SECOND_US,
 };
 
 static void
@@ -46,7 +46,7 @@
   members->rand = rand;
   members->clock = clock;
   members->round = g_ptr_array_new_with_free_func (g_free);
-  members->distant = g_ptr_array_new_with_free_func (g_free);
+  members->remote_round = g_ptr_array_new_with_free_func (g_free);
   members->news = g_array_new (FALSE, FALSE, sizeof (MemberNews));
   members->probes = g_array_new (FALSE, FALSE, sizeof (Probe));
   g_array_set_clear_func (members->probes, clear_probe);
@@ -64,7 +64,7 @@
   members_table_destroy (members->table);
   g_strfreev (members->seeds);
   g_ptr_array_unref (members->round);
-  g_ptr_array_unref (members->distant);
+  g_ptr_array_unref (members->remote_round);
   g_array_unref (members->news);
   g_array_unref (members->probes);
   g_ptr_array_unref (members->borrowed);
@@ -72,14 +72,14 @@
 }
 
 void
-members_set_changed (Members *members, MembersChanged changed, gpointer data)
+members_set_changed (Members *members, MembersChangedFunc changed, gpointer data)
 {
   members->changed = changed;
   members->changed_data = data;
 }
 
 static void
-tell_changed (Members *members, const MemberRecord *record)
+report_change (Members *members, const MemberRecord *record)
 {
   if (members->changed)
     members->changed (&record->member, members->changed_data);
@@ -92,12 +92,12 @@
 }
 
 void
-members_spread (Members *members, MemberRecord *record, gboolean full)
+members_disseminate (Members *members, MemberRecord *record, gboolean full)
 {
   record->sends_left =
-      (guint)ceil (SPREAD_FACTOR * (members_fleet_log (members) * 3 + 1));
+      (guint)ceil (DISSEMINATION_FACTOR * (members_fleet_log (members) * 3 + 1));
   if (full)
-    record->full_left = MIN (record->sends_left, FULL_SENDS);
+    record->full_sends_left = MIN (record->sends_left, FULL_SENDS_MAX);
 }
 
 /* Raises self's epoch above `epoch`, so that its own update wins. */
@@ -106,7 +106,7 @@
 {
   members->self->member.epoch = epoch + 1;
   members_table_rehash (members->table, members->self);
-  members_spread (members, members->self, FALSE);
+  members_disseminate (members, members->self, FALSE);
 }
 
 static gboolean
@@ -142,9 +142,9 @@
   record->status_since_us = clock_now (members->clock);
 }
 
-/* Whether a receiver that has the held entry needs the full update instead of a brief. */
+/* Whether a receiver that has the held entry needs the full update instead of a delta. */
 static gboolean
-is_unlike (const Member *rumour, const Member *held)
+needs_full_update (const Member *rumour, const Member *held)
 {
   return rumour->incarnation != held->incarnation ||
          rumour->payload_serial != held->payload_serial ||
@@ -153,7 +153,7 @@
 
 /* Handles an update that is older than the held entry or equal to it. */
 static void
-note_echo (MemberRecord *record, const Member *rumour)
+note_known_update (MemberRecord *record, const Member *rumour)
 {
   /* A node that restarted unnoticed begins at epoch 1 again, and its update can lose to
      the entry of its previous start. It receives that entry and overrules it. */
@@ -161,8 +161,8 @@
   if (rumour->epoch == record->member.epoch && rumour->status == record->member.status &&
       rumour->serial == record->member.serial)
     {
-      record->sends_left -= MIN (record->sends_left, ECHO_SENDS);
-      record->full_left -= MIN (record->full_left, ECHO_SENDS);
+      record->sends_left -= MIN (record->sends_left, DUPLICATE_SENDS);
+      record->full_sends_left -= MIN (record->full_sends_left, DUPLICATE_SENDS);
     }
 }
 
@@ -179,9 +179,9 @@
   note_status_time (members, record);
   /* Members that a starting node learns of are known to the others, or reach them when
      they compare views as it does. */
-  if (!members_is_young (members))
-    members_spread (members, record, TRUE);
-  tell_changed (members, record);
+  if (!members_is_starting_up (members))
+    members_disseminate (members, record, TRUE);
+  report_change (members, record);
   return TRUE;
 }
 
@@ -198,34 +198,34 @@
     return merge_self (members, rumour);
   if (!is_newer (rumour, &record->member))
     {
-      note_echo (record, rumour);
+      note_known_update (record, rumour);
       return FALSE;
     }
   old = record->member.status;
-  unlike = is_unlike (rumour, &record->member);
+  unlike = needs_full_update (rumour, &record->member);
   record->introduced &= rumour->incarnation == record->member.incarnation;
   members_table_update (members->table, record, rumour);
   record->contested = FALSE;
   if (old != rumour->status)
     note_status_time (members, record);
-  members_spread (members, record, unlike);
-  tell_changed (members, record);
+  members_disseminate (members, record, unlike);
+  report_change (members, record);
   return TRUE;
 }
 
 gboolean
-members_merge_brief (Members *members, const MemberBrief *brief)
+members_merge_delta (Members *members, const MemberDelta *delta)
 {
-  MemberRecord *record = members_table_of (members->table, brief);
+  MemberRecord *record = members_table_find_delta (members->table, delta);
   Member rumour;
 
-  if (!record || record->member.payload_serial != brief->payload_serial)
+  if (!record || record->member.payload_serial != delta->payload_serial)
     return FALSE;
   rumour = record->member;
-  rumour.epoch = brief->epoch;
-  rumour.status = brief->status;
-  rumour.serial = brief->serial;
-  rumour.state = brief->state;
+  rumour.epoch = delta->epoch;
+  rumour.status = delta->status;
+  rumour.serial = delta->serial;
+  rumour.state = delta->state;
   return members_merge (members, &rumour);
 }
 
@@ -235,8 +235,8 @@
   record->member.status = status;
   members_table_rehash (members->table, record);
   note_status_time (members, record);
-  members_spread (members, record, FALSE);
-  tell_changed (members, record);
+  members_disseminate (members, record, FALSE);
+  report_change (members, record);
 }
 
 const Member *
@@ -327,7 +327,7 @@
 }
 
 void
-members_set_words (Members *members, GBytes *payload, GBytes *state)
+members_publish (Members *members, GBytes *payload, GBytes *state)
 {
   Member *self = &members->self->member;
   gboolean same = is_same (self->payload, payload);
@@ -340,7 +340,7 @@
   replace (&self->payload, payload);
   replace (&self->state, state);
   members_table_rehash (members->table, members->self);
-  members_spread (members, members->self, !same);
+  members_disseminate (members, members->self, !same);
 }
 
 void
@@ -348,5 +348,5 @@
 {
   members->self->member.status = MEMBER_LEFT;
   members_table_rehash (members->table, members->self);
-  members_spread (members, members->self, FALSE);
+  members_disseminate (members, members->self, FALSE);
 }
--- a/core/src/member/table.c
+++ b/core/src/member/table.c
@@ -70,11 +70,11 @@
 }
 
 MemberRecord *
-members_table_of (const MembersTable *table, const MemberBrief *brief)
+members_table_find_delta (const MembersTable *table, const MemberDelta *delta)
 {
-  MemberRecord *record = g_hash_table_lookup (table->by_id, GUINT_TO_POINTER (brief->id));
+  MemberRecord *record = g_hash_table_lookup (table->by_id, GUINT_TO_POINTER (delta->id));
 
-  if (!record || (guint32)record->member.incarnation != brief->incarnation)
+  if (!record || (guint32)record->member.incarnation != delta->incarnation)
     return NULL;
   return record;
 }
@@ -206,7 +206,7 @@
 }
 
 void
-members_table_fresh (const MembersTable *table, GPtrArray *records)
+members_table_pending (const MembersTable *table, GPtrArray *records)
 {
   GHashTableIter iter;
   gpointer value;
--- a/core/src/member/table.h
+++ b/core/src/member/table.h
@@ -10,9 +10,9 @@
 {
   Member member; /* the record owns its strings, payload and state */
   gint64 status_since_us;
-  guint sends_left; /* remaining sends of the latest update */
-  guint full_left;  /* how many of them are in full */
-  guint64 hash;     /* XORed into its bucket's digest */
+  guint sends_left;      /* remaining sends of the latest update */
+  guint full_sends_left; /* how many of them are in full */
+  guint64 hash;          /* XORed into its bucket's digest */
   guint bucket;
   gboolean contested;  /* an update named another incarnation: inform the member */
   gboolean introduced; /* self has been sent to it in full */
@@ -24,8 +24,9 @@
 void members_table_destroy (MembersTable *table);
 
 MemberRecord *members_table_find (const MembersTable *table, const char *node);
-/* Returns the record that a brief refers to, or NULL. */
-MemberRecord *members_table_of (const MembersTable *table, const MemberBrief *brief);
+/* Returns the record that a delta refers to, or NULL. */
+MemberRecord *members_table_find_delta (const MembersTable *table,
+                                        const MemberDelta *delta);
 MemberRecord *members_table_put (MembersTable *table, const Member *member);
 void
 members_table_update (MembersTable *table, MemberRecord *record, const Member *member);
@@ -39,7 +40,7 @@
 void members_table_dead_addresses (const MembersTable *table, GPtrArray *addresses);
 gboolean members_table_has_address (const MembersTable *table, const char *address);
 /* Appends the records with an update to send, those with most sends left first. */
-void members_table_fresh (const MembersTable *table, GPtrArray *records);
+void members_table_pending (const MembersTable *table, GPtrArray *records);
 void members_table_buckets (const MembersTable *table, guint64 *buckets);
 /* Appends all Members; borrowed. */
 void members_table_all (const MembersTable *table, GPtrArray *members);
--- a/core/tests/test-absence.c
+++ b/core/tests/test-absence.c
@@ -83,7 +83,7 @@
           Members *members = self == dead ? NULL : view_of (self, dead, rand, clock);
 
           if (members)
-            count += absences_is_mine (members, gone);
+            count += absences_is_responsible (members, gone);
           members_destroy (members);
         }
       assert_int_equal (count, 1);
--- a/core/tests/test-members.c
+++ b/core/tests/test-members.c
@@ -93,7 +93,7 @@
   guint sequence = probe (&fixture);
   g_autoptr (GPtrArray) actions = NULL;
 
-  clock_advance (fixture.clock, members_timing_default.answer_us);
+  clock_advance (fixture.clock, members_timing_default.direct_timeout_us);
   actions = members_tick (fixture.members);
   assert_non_null (actions);
   members_answered (fixture.members, sequence, "c");
@@ -108,8 +108,8 @@
 {
   Fixture fixture = setup ();
 
-  members_taken_over (fixture.members, "a");
-  members_taken_over (fixture.members, "nobody");
+  members_mark_replaced (fixture.members, "a");
+  members_mark_replaced (fixture.members, "nobody");
   assert_int_equal (members_self (fixture.members)->status, MEMBER_ALIVE);
   teardown (&fixture);
 }
--- a/core/tests/test-pack.c
+++ b/core/tests/test-pack.c
@@ -54,7 +54,7 @@
 test_what_does_not_unpack_is_a_fault (void **state)
 {
   g_autoptr (GBytes) text = shard_text ();
-  g_autoptr (GBytes) packed = pack_text (text);
+  g_autoptr (GBytes) packed = pack_compress (text);
   g_autoptr (GBytes) cut =
       g_bytes_new_from_bytes (packed, 0, g_bytes_get_size (packed) / 2);
   JsonFaults *faults = json_faults_create ();
@@ -73,12 +73,12 @@
   static const char zeros[CONFIG_PART_MAX + 1];
   g_autoptr (GBytes) most = g_bytes_new_static (zeros, CONFIG_PART_MAX);
   g_autoptr (GBytes) more = g_bytes_new_static (zeros, CONFIG_PART_MAX + 1);
-  g_autoptr (GBytes) packed_most = pack_text (most);
-  g_autoptr (GBytes) packed_more = pack_text (more);
-  g_autoptr (GBytes) opened = pack_open (packed_most, CONFIG_PART_MAX);
+  g_autoptr (GBytes) packed_most = pack_compress (most);
+  g_autoptr (GBytes) packed_more = pack_compress (more);
+  g_autoptr (GBytes) opened = pack_decompress (packed_most, CONFIG_PART_MAX);
 
   assert_true (g_bytes_equal (opened, most));
-  assert_null (pack_open (packed_more, CONFIG_PART_MAX));
+  assert_null (pack_decompress (packed_more, CONFIG_PART_MAX));
 }
 
 /* The largest part that is planned: all targets of a service are one. */
--- a/daemon/src/account/allowance-fleet.c
+++ b/daemon/src/account/allowance-fleet.c
@@ -9,7 +9,7 @@
  * nodes that had been killed at once knew nine tenths of each other one second after
  * their start; 2,600 requests were refused in that second.
  */
-#define YOUNG_US SECOND_US
+#define STARTUP_US SECOND_US
 /* How long after its start a node uses the list. Members found in this time were there
    before it, so they do not move the time from which it lends, which is its start. */
 #define LIST_USED_US (3 * SECOND_US)
@@ -202,7 +202,7 @@
 static gboolean
 is_starting_up (const AllowanceFleet *fleet)
 {
-  return age_us (fleet) < YOUNG_US && !fleet->includes_list;
+  return age_us (fleet) < STARTUP_US && !fleet->includes_list;
 }
 
 /* The part of the fleet that this node sees, 0 to 1. The list counts as the whole. */
--- a/daemon/src/config/config-sync.c
+++ b/daemon/src/config/config-sync.c
@@ -210,7 +210,7 @@
     return FALSE;
   /* When 981 nodes start at once, each of them knows only a few members. A rank by the
      platform's list as well makes them agree on the watchers. */
-  if (members_is_young (members))
+  if (members_is_starting_up (members))
     rank = MAX (rank,
                 fleet_list_rank_in_hall (sync->node->list, members_self (members)->node,
                                          members_self (members)->hall));
--- a/daemon/src/member/gossip-news.c
+++ b/daemon/src/member/gossip-news.c
@@ -13,7 +13,7 @@
 void
 gossip_fill_news (Node *node, const char *to, sw_gossip *message)
 {
-  const GArray *news = members_news (node->members, to, NEWS_BYTES_MAX);
+  const GArray *news = members_next_news (node->members, to, NEWS_BYTES_MAX);
   guint count = MIN (news->len, SW_RUMOURS_MAX);
 
   message->rumours.rumours_val = g_new0 (sw_rumour, count + 1);
@@ -22,8 +22,8 @@
     {
       const MemberNews *item = &g_array_index (news, MemberNews, i);
 
-      if (item->brief)
-        rumour_fill_brief (item->member,
+      if (item->delta)
+        rumour_fill_delta (item->member,
                            &message->briefs.briefs_val[message->briefs.briefs_len++]);
       else
         rumour_fill (item->member,
@@ -46,7 +46,7 @@
   for (guint i = 0; i < message->rumours.rumours_len; i++)
     any |= rumour_merge (node->members, &message->rumours.rumours_val[i]);
   for (guint i = 0; i < message->briefs.briefs_len; i++)
-    any |= rumour_merge_brief (node->members, &message->briefs.briefs_val[i]);
+    any |= rumour_merge_delta (node->members, &message->briefs.briefs_val[i]);
   return any;
 }
 
--- a/daemon/src/member/gossip.c
+++ b/daemon/src/member/gossip.c
@@ -122,7 +122,7 @@
   if (strcmp (relay->subject, from) == 0)
     gossip_send_reply (gossip, relay->to, NULL, relay->xid);
   else
-    members_taken_over (gossip->node->members, relay->subject);
+    members_mark_replaced (gossip->node->members, relay->subject);
 }
 
 static void
--- a/daemon/src/member/peers.c
+++ b/daemon/src/member/peers.c
@@ -186,7 +186,7 @@
 {
   log_event (G_LOG_LEVEL_INFO, "address-taken-over", "SUBJECT", vm, "DETAIL", other,
              NULL);
-  members_taken_over (node->members, vm);
+  members_mark_replaced (node->members, vm);
 }
 
 static void
--- a/daemon/src/member/rumour.c
+++ b/daemon/src/member/rumour.c
@@ -31,17 +31,17 @@
 }
 
 void
-rumour_fill_brief (const Member *member, sw_brief *words)
+rumour_fill_delta (const Member *member, sw_brief *words)
 {
-  MemberBrief brief = members_brief (member);
+  MemberDelta delta = members_delta (member);
 
-  words->id = brief.id;
-  words->incarnation = brief.incarnation;
-  words->epoch = brief.epoch;
-  words->status = brief.status;
-  words->serial = brief.serial;
-  words->payload_serial = brief.payload_serial;
-  lend (brief.state, &words->state.state_val, &words->state.state_len);
+  words->id = delta.id;
+  words->incarnation = delta.incarnation;
+  words->epoch = delta.epoch;
+  words->status = delta.status;
+  words->serial = delta.serial;
+  words->payload_serial = delta.payload_serial;
+  lend (delta.state, &words->state.state_val, &words->state.state_len);
 }
 
 /* Returns NULL for empty data. */
@@ -77,10 +77,10 @@
 }
 
 gboolean
-rumour_merge_brief (Members *members, const sw_brief *words)
+rumour_merge_delta (Members *members, const sw_brief *words)
 {
   g_autoptr (GBytes) state = NULL;
-  MemberBrief brief = {
+  MemberDelta delta = {
     .id = words->id,
     .incarnation = words->incarnation,
     .epoch = words->epoch,
@@ -92,6 +92,6 @@
   if (words->status > MEMBER_LEFT)
     return FALSE;
   state = copy_of (words->state.state_val, words->state.state_len);
-  brief.state = state;
-  return members_merge_brief (members, &brief);
+  delta.state = state;
+  return members_merge_delta (members, &delta);
 }
--- a/daemon/src/member/rumour.h
+++ b/daemon/src/member/rumour.h
@@ -8,12 +8,12 @@
 #include <core/members.h>
 #include <wire/message.h>
 
-/* Fill a rumour or a brief with data that is borrowed from the member. */
+/* Fill a rumour or a delta with data that is borrowed from the member. */
 void rumour_fill (const Member *member, sw_rumour *rumour);
-void rumour_fill_brief (const Member *member, sw_brief *words);
+void rumour_fill_delta (const Member *member, sw_brief *words);
 
-/* Merge a rumour or a brief into the membership. Return TRUE if it was new. */
+/* Merge a rumour or a delta into the membership. Return TRUE if it was new. */
 gboolean rumour_merge (Members *members, const sw_rumour *rumour);
-gboolean rumour_merge_brief (Members *members, const sw_brief *words);
+gboolean rumour_merge_delta (Members *members, const sw_brief *words);
 
 #endif
--- a/daemon/src/request/exchange-choice.c
+++ b/daemon/src/request/exchange-choice.c
@@ -10,7 +10,7 @@
 
 /* A node counts as newly started until the targets' heartbeats (one in 1.5 s each) have
    arrived and gossip has spread them. */
-#define YOUNG_US (2 * SECOND_US)
+#define STARTUP_US (2 * SECOND_US)
 #define LOOK_AGAIN_US (25 * MS_US)
 
 /* Looks the service up in the newest configuration. */
@@ -155,7 +155,7 @@
 {
   const Node *node = exchange->owner->node;
 
-  return clock_now (node->clock) - node->started_us < YOUNG_US &&
+  return clock_now (node->clock) - node->started_us < STARTUP_US &&
          dispatch_arrivals (exchange->dispatch) == 0 &&
          exchange_slack_us (exchange) > LOOK_AGAIN_US;
 }
--- a/daemon/src/target/registry.c
+++ b/daemon/src/target/registry.c
@@ -65,10 +65,10 @@
     return FALSE;
   heartbeat->service = g_strdup (names_required (view, "service"));
   heartbeat->version = g_strdup (json_view_string (view, "version", BODY_MAX, ""));
-  heartbeat->slots = (guint)json_view_floor (view, "slots", 1, SLOTS_MAX, 1);
+  heartbeat->slots = (guint)json_view_clamped_int (view, "slots", 1, SLOTS_MAX, 1);
   heartbeat->leaving = json_view_choice (view, "state", state_names, 0) == 1;
-  heartbeat->sequence = json_view_floor (view, "sequence", 0, G_MAXINT64, 0);
-  heartbeat->cold_us = MS_US * json_view_floor (view, "cold_ms", 0, COLD_MAX_MS, 0);
+  heartbeat->sequence = json_view_clamped_int (view, "sequence", 0, G_MAXINT64, 0);
+  heartbeat->cold_us = MS_US * json_view_clamped_int (view, "cold_ms", 0, COLD_MAX_MS, 0);
   heartbeat->born = json_view_int (view, "born", 0, G_MAXINT64, 0);
   json_view_release (view);
   return json_faults_count (faults) == 0;
--- a/daemon/src/target/verdicts.c
+++ b/daemon/src/target/verdicts.c
@@ -101,7 +101,7 @@
   state_words.verdicts.verdicts_len = count;
   payload = wire_pack ((xdrproc_t)xdr_sw_member_payload, &payload_words);
   state = wire_pack ((xdrproc_t)xdr_sw_member_state, &state_words);
-  members_set_words (node->members, payload, state);
+  members_publish (node->members, payload, state);
   gossip_push (node->gossip);
 }
 
--- a/daemon/tests/test-account-stats.c
+++ b/daemon/tests/test-account-stats.c
@@ -44,7 +44,7 @@
 }
 
 static void
-test_who_is_quiet_makes_room_and_is_not_lost (void **state)
+test_idle_accounts_make_room_and_keep_their_counts (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
   AccountStats *stats = account_stats_create (clock);
@@ -73,7 +73,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_many_accounts_are_counted_together),
-    cmocka_unit_test (test_who_is_quiet_makes_room_and_is_not_lost),
+    cmocka_unit_test (test_idle_accounts_make_room_and_keep_their_counts),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/daemon/tests/test-allowance-fleet.c
+++ b/daemon/tests/test-allowance-fleet.c
@@ -68,7 +68,7 @@
 }
 
 static void
-test_a_young_node_without_a_list_lends_nothing (void **state)
+test_a_starting_node_without_a_list_lends_nothing (void **state)
 {
   Fixture *fixture = setup ();
 
@@ -80,7 +80,7 @@
 }
 
 static void
-test_the_list_names_the_lenders_at_once_and_for_its_time (void **state)
+test_the_list_gives_the_lenders_until_it_expires (void **state)
 {
   Fixture *fixture = setup ();
   const char *lenders[ALLOWANCE_LENDERS];
@@ -102,7 +102,7 @@
 /* A list of several pages is read again while requests still use the lenders of the
  * previous reading: their names must stay valid. */
 static void
-test_a_list_that_is_read_again_leaves_the_lenders_valid (void **state)
+test_reading_the_list_again_keeps_lenders_valid (void **state)
 {
   Fixture *fixture = setup ();
   const char *lenders[ALLOWANCE_LENDERS];
@@ -131,9 +131,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_a_young_node_without_a_list_lends_nothing),
-    cmocka_unit_test (test_the_list_names_the_lenders_at_once_and_for_its_time),
-    cmocka_unit_test (test_a_list_that_is_read_again_leaves_the_lenders_valid),
+    cmocka_unit_test (test_a_starting_node_without_a_list_lends_nothing),
+    cmocka_unit_test (test_the_list_gives_the_lenders_until_it_expires),
+    cmocka_unit_test (test_reading_the_list_again_keeps_lenders_valid),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/daemon/tests/test-config-sync.c
+++ b/daemon/tests/test-config-sync.c
@@ -11,7 +11,7 @@
 #define SPAN_S 120u
 #define STEP_US (100 * MS_US)
 /* Nodes of those started together that may read within one second. */
-#define TENTH (NODES / 10)
+#define READS_PER_SECOND_MAX (NODES / 10)
 #define POLLED_WITHIN_US (90 * SECOND_US)
 
 typedef struct
@@ -164,7 +164,7 @@
     most = MAX (most, fixture->reads[second]);
   print_message ("%u of %u nodes read in one second\n", most, NODES);
   assert_int_equal (fixture->polled_in_time, NODES);
-  assert_in_range (most, 1, TENTH);
+  assert_in_range (most, 1, READS_PER_SECOND_MAX);
 }
 
 int
--- a/daemon/tests/test-credentials.c
+++ b/daemon/tests/test-credentials.c
@@ -44,7 +44,7 @@
 }
 
 static void
-test_what_is_no_key (void **state)
+test_malformed_keys_are_rejected (void **state)
 {
   static const char *const bad[] = {
     "",           "Bearer", "Bearer ",     "Bearer    ",   "Bearer\t" KEY,
@@ -71,7 +71,7 @@
 }
 
 static void
-test_two_keys_are_none (void **state)
+test_two_keys_are_rejected (void **state)
 {
   g_autoptr (GArray) headers = http_headers_new ();
   guint8 digest[CONFIG_KEY_DIGEST_LEN];
@@ -82,7 +82,7 @@
 }
 
 static void
-test_bytes_that_are_no_text_are_a_key_like_another (void **state)
+test_non_text_bytes_are_accepted_in_a_key (void **state)
 {
   guint8 one[CONFIG_KEY_DIGEST_LEN];
   guint8 other[CONFIG_KEY_DIGEST_LEN];
@@ -99,10 +99,10 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_a_key_is_known_by_its_digest),
-    cmocka_unit_test (test_what_is_no_key),
+    cmocka_unit_test (test_malformed_keys_are_rejected),
     cmocka_unit_test (test_a_key_that_is_too_long_is_not_digested),
-    cmocka_unit_test (test_two_keys_are_none),
-    cmocka_unit_test (test_bytes_that_are_no_text_are_a_key_like_another),
+    cmocka_unit_test (test_two_keys_are_rejected),
+    cmocka_unit_test (test_non_text_bytes_are_accepted_in_a_key),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/daemon/tests/test-holds.c
+++ b/daemon/tests/test-holds.c
@@ -43,7 +43,7 @@
 }
 
 static void
-test_no_more_is_held_than_there_are_slots (void **state)
+test_holds_are_limited_by_slots (void **state)
 {
   Fixture fixture = setup ();
   AttemptId first = attempt (1);
@@ -58,7 +58,7 @@
 }
 
 static void
-test_a_hold_is_for_the_attempt_that_asked_and_once (void **state)
+test_a_hold_is_taken_once_by_its_attempt (void **state)
 {
   Fixture fixture = setup ();
   AttemptId asked = attempt (1);
@@ -77,7 +77,7 @@
 }
 
 static void
-test_what_does_not_come_in_time_gives_its_slot_back (void **state)
+test_a_hold_expires_and_releases_its_slot (void **state)
 {
   Fixture fixture = setup ();
   AttemptId asked = attempt (1);
@@ -97,9 +97,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_no_more_is_held_than_there_are_slots),
-    cmocka_unit_test (test_a_hold_is_for_the_attempt_that_asked_and_once),
-    cmocka_unit_test (test_what_does_not_come_in_time_gives_its_slot_back),
+    cmocka_unit_test (test_holds_are_limited_by_slots),
+    cmocka_unit_test (test_a_hold_is_taken_once_by_its_attempt),
+    cmocka_unit_test (test_a_hold_expires_and_releases_its_slot),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/daemon/tests/test-traffic.c
+++ b/daemon/tests/test-traffic.c
@@ -33,7 +33,7 @@
 }
 
 static void
-assert_told (const Traffic *traffic, const char *hall, const char *kind, guint bytes)
+assert_exposed (const Traffic *traffic, const char *hall, const char *kind, guint bytes)
 {
   g_autoptr (GString) text = g_string_new (NULL);
   g_autofree char *line =
@@ -53,24 +53,24 @@
   traffic_add (fixture.traffic, TRAFFIC_RUMOURS, FALSE, 30);
   traffic_add (fixture.traffic, TRAFFIC_RUMOURS, FALSE, 12);
   traffic_add (fixture.traffic, TRAFFIC_CONTROL, FALSE, 5);
-  assert_told (fixture.traffic, "own", "rumours", 100);
-  assert_told (fixture.traffic, "other", "rumours", 42);
-  assert_told (fixture.traffic, "other", "control", 5);
-  assert_told (fixture.traffic, "own", "control", 0);
+  assert_exposed (fixture.traffic, "own", "rumours", 100);
+  assert_exposed (fixture.traffic, "other", "rumours", 42);
+  assert_exposed (fixture.traffic, "other", "control", 5);
+  assert_exposed (fixture.traffic, "own", "control", 0);
   teardown (&fixture);
 }
 
 /* Bytes of a request count as requests until its refusal arrives. */
 static void
-test_bytes_can_be_counted_anew (void **state)
+test_bytes_can_be_moved_to_another_kind (void **state)
 {
   Fixture fixture = setup ();
 
   traffic_add (fixture.traffic, TRAFFIC_REQUESTS, FALSE, 1500);
   traffic_recount (fixture.traffic, TRAFFIC_REQUESTS, TRAFFIC_REFUSED, FALSE, 1200);
-  assert_told (fixture.traffic, "other", "requests", 300);
-  assert_told (fixture.traffic, "other", "refused", 1200);
-  assert_told (fixture.traffic, "own", "refused", 0);
+  assert_exposed (fixture.traffic, "other", "requests", 300);
+  assert_exposed (fixture.traffic, "other", "refused", 1200);
+  assert_exposed (fixture.traffic, "own", "refused", 0);
   teardown (&fixture);
 }
 
@@ -79,7 +79,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_bytes_are_counted_by_kind_and_hall),
-    cmocka_unit_test (test_bytes_can_be_counted_anew),
+    cmocka_unit_test (test_bytes_can_be_moved_to_another_kind),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
