--- a/core/tests/test-absence.c
+++ b/core/tests/test-absence.c
@@ -1,4 +1,5 @@
-/* Who is gone for good, and who removes what is left. */
+/* Tests which missing nodes count as gone for good, and which survivor cleans up after
+   them. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -38,7 +39,8 @@
   clock_destroy (clock);
 }
 
-/* The view of node `self` of a fleet of NODES, where `dead` has died. */
+/* Returns the members as node `self` sees them, in a fleet of NODES nodes of which node
+   `dead` is dead. */
 static Members *
 view_of (guint self, guint dead, GRand *rand, Clock *clock)
 {
--- a/core/tests/test-admission-load.c
+++ b/core/tests/test-admission-load.c
@@ -1,4 +1,4 @@
-/* Load patterns replayed at one target's queue, on the paused clock. */
+/* Replays load patterns against one target's admission queue, on a manual clock. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -9,7 +9,8 @@
 #define SLOTS 4u
 #define QUEUE 16u
 #define STEP_US (5 * MS_US)
-/* Four slots do ten of these a second; it may wait 0.8 s and be on time. */
+/* Four slots serve ten of these a second. A request may wait 0.8 s and still meet the
+   objective. */
 #define WORK_US (400 * MS_US)
 #define OBJECTIVE_US (1200 * MS_US)
 #define DEADLINE_US (8 * SECOND_US)
@@ -19,7 +20,7 @@
 {
   guint priority;
   gint64 came_us;
-  gint64 ends_us; /* 0 before it has started */
+  gint64 ends_us; /* 0 until the request starts */
   gboolean refused;
 } Item;
 
@@ -84,7 +85,8 @@
     }
 }
 
-/* Lets time pass: work ends, what waits starts or is given up. */
+/* Advances the clock by one step: requests that end release their slots, expired ones are
+   refused, and waiting ones start. */
 static void
 step (Replay *replay)
 {
@@ -102,7 +104,7 @@
     start (replay, next);
 }
 
-/* One comes every `every_us`; each fourth is of the higher priority. */
+/* Offers a request every `every_us`; every fourth has the higher priority (0). */
 static void
 load (Replay *replay, gint64 every_us, gint64 for_us)
 {
@@ -126,7 +128,8 @@
   return item->ends_us > 0 && item->ends_us <= item->came_us + OBJECTIVE_US + STEP_US;
 }
 
-/* The share on time of those that came in a span, in percent. */
+/* Returns the percentage of requests on time among those that came from `from_us` up to
+   `to_us`. */
 static guint
 on_time_percent (const Replay *replay, gint64 from_us, gint64 to_us)
 {
@@ -143,9 +146,9 @@
   return came > 0 ? 100 * good / came : 0;
 }
 
-/* Twice what the slots do for 3 s, then eight tenths of it: in the order of arrival the
-   queue that is left makes the next seconds late as well (25 % on time instead of 100).
- */
+/* The load is twice the capacity for 3 s, then 80 % of it. If the queue were served in
+   order of arrival, the backlog would make the next seconds late as well (25 % on time
+   instead of 100 %). */
 static void
 test_a_burst_makes_nothing_late_that_comes_after_it (void **state)
 {
@@ -160,7 +163,8 @@
   replay_destroy (replay);
 }
 
-/* While it lasts the slots do what is on time, not what is late already. */
+/* During an overload the slots serve requests that can still be on time before those that
+   are late already. */
 static void
 test_in_a_burst_half_is_on_time_and_first_what_matters_more (void **state)
 {
@@ -181,7 +185,7 @@
   replay_destroy (replay);
 }
 
-/* What was late is served once there is room, rather than given up. */
+/* Late requests are served once there is room, instead of being refused. */
 static void
 test_what_is_late_is_served_when_the_load_is_over (void **state)
 {
@@ -196,7 +200,7 @@
   replay_destroy (replay);
 }
 
-/* In a full queue something that is late makes room for what can be on time. */
+/* In a full queue a late request is displaced by one that can be on time. */
 static void
 test_what_is_late_makes_room (void **state)
 {
--- a/core/tests/test-admission.c
+++ b/core/tests/test-admission.c
@@ -1,4 +1,5 @@
-/* Admission: exact slots, a queue bounded by deadlines, priorities, the limit. */
+/* Tests admission: the exact slot count, the queue with its priorities and time bounds,
+   the adaptive limit, and the retry budget. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -64,8 +65,8 @@
   teardown (&fixture);
 }
 
-/* All slots are held by work that hangs: a trial goes beyond them, and nothing else does.
- */
+/* With all slots held by requests that hang, a trial is admitted beyond them and no other
+   request is. */
 static void
 test_a_trial_goes_beyond_the_slots (void **state)
 {
@@ -123,7 +124,8 @@
   teardown (&fixture);
 }
 
-/* What could still be done by its deadline, but not by the time it is wanted. */
+/* `start_by_us` bounds the wait where the deadline would allow a longer one: a request is
+   refused if it could not start by then, and expires if it has not. */
 static void
 test_nothing_waits_longer_than_it_is_worth (void **state)
 {
--- a/core/tests/test-allowance.c
+++ b/core/tests/test-allowance.c
@@ -1,4 +1,5 @@
-/* Allowances over a fleet: what is lent stays within the bound in every window. */
+/* Tests that the requests lent across a fleet stay within an account's bound in every
+   window. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +12,7 @@
 #define ACCOUNT "acme"
 #define WINDOW_US (5 * SECOND_US)
 #define STEP_US (10 * MS_US)
-#define STEPS 6000u /* a minute */
+#define STEPS 6000u /* one minute */
 #define MANY 100000u
 
 static const AllowanceRule rule = { WINDOW_US, 0.1, 20 };
@@ -24,7 +25,7 @@
   return (terms->per_s * window + terms->burst) * (1 + rule.overage) + rule.slack;
 }
 
-/* What was let through, by step; the worst window of it. */
+/* Returns the most requests in any window; `passed` counts them by step. */
 static guint
 worst_window (const guint *passed, guint steps)
 {
@@ -56,12 +57,13 @@
 
       assert_true (rate.per_s * span + rate.depth < bound_of (&cases[i]));
       assert_true (rate.depth >= 1);
-      /* What is the account's own in the long run is nearly all lent. */
+      /* In the long run nearly the account's whole rate is lent. */
       assert_true (rate.per_s >= 0.95 * cases[i].per_s);
     }
 }
 
-/* A flood with the latest use of everything that was lent: at the end of its time. */
+/* A flood. In every other 5 s the lent requests are used as late as possible, at the end
+   of their holding time. */
 static void
 test_a_flood_stays_within_the_bound (void **state)
 {
@@ -86,7 +88,7 @@
   clock_destroy (clock);
 }
 
-/* Every lender starts again, again and again: no life lends what another has lent. */
+/* The lender restarts every 0.9 s and must not lend again what it lent before. */
 static void
 test_restarts_lend_nothing_twice (void **state)
 {
@@ -131,7 +133,8 @@
   clock_destroy (clock);
 }
 
-/* Within the allowance nothing is refused: its rate, and its burst after a rest. */
+/* Requests within the allowance are never refused: neither a burst after a rest nor the
+   account's full rate for 100 s. */
 static void
 test_what_is_within_is_lent (void **state)
 {
@@ -218,7 +221,7 @@
   for (guint i = 0; i < ALLOWANCE_LENDERS; i++)
     for (guint j = 0; j < i; j++)
       assert_int_not_equal (atoi (first[i] + 3) % 5, atoi (first[j] + 3) % 5);
-  /* Accounts are spread over the fleet. */
+  /* Accounts are spread over the fleet: nearly all have another first lender. */
   for (guint i = 0; i < 200; i++)
     {
       g_autofree char *name = g_strdup_printf ("account-%u", i);
@@ -272,7 +275,7 @@
       assert_true (allowance_purse_spend (purse, ACCOUNT));
     }
   assert_in_range (allowance_purse_reserve (purse, ACCOUNT), 9, 13);
-  /* What is at hand is used up by half first. */
+  /* Nothing more is borrowed while over half of the wanted stock is left. */
   allowance_purse_add (purse, ACCOUNT, 10, clock_now (clock));
   assert_int_equal (allowance_purse_reserve (purse, ACCOUNT), 0);
   allowance_purse_destroy (purse);
--- a/core/tests/test-balancer.c
+++ b/core/tests/test-balancer.c
@@ -1,4 +1,4 @@
-/* The ingress's choice among healthy, sick, slow and unreachable targets. */
+/* Tests the ingress's choice among healthy, sick, slow and unreachable targets. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -33,7 +33,7 @@
   const Service *service;
 } Fixture;
 
-/* All four targets are needed for the floor: none can be ejected. */
+/* The floor needs all four targets, so that none can be ejected. */
 static Fixture
 setup (void)
 {
@@ -75,7 +75,7 @@
   balancer_note_report (fixture->balancer, &words);
 }
 
-/* How often target `i` comes out in many choices. */
+/* Returns how often target `i` is chosen in ROUNDS choices. */
 static guint
 share (Fixture *fixture, guint i, const GPtrArray *tried)
 {
@@ -185,12 +185,12 @@
 
   report (&fixture, 0, 0, 100, FALSE);
   assert_int_equal (trials (&fixture, BALANCER_NO_TRIAL, 10 * SECOND_US), 0);
-  /* Of its own hall, five a second: the sidecar takes one at a time. */
+  /* Five trials a second in the own hall; the sidecar admits one at a time. */
   assert_in_range (trials (&fixture, BALANCER_TRIAL_DUE, 20 * SECOND_US), 75, 125);
   teardown (&fixture);
 }
 
-/* All ingresses of other halls together make about two a second. */
+/* All ingresses of other halls together make about two trials a second. */
 static void
 test_trials_in_other_halls_are_shared (void **state)
 {
@@ -206,7 +206,8 @@
   teardown (&fixture);
 }
 
-/* Sound targets that are held sick by mistake must not wait for work. */
+/* The first trial comes within 2 s in a large fleet too, so that healthy targets ejected
+   by mistake soon get requests again. */
 static void
 test_a_large_fleet_tries_at_once (void **state)
 {
@@ -238,7 +239,7 @@
   BalancerWish others = { .halls = BALANCER_OTHERS_FIRST };
 
   assert_true (balancer_choose (fixture.balancer, fixture.service, &own).local);
-  /* Where one kind is missing the other does. */
+  /* Without a target of the preferred kind, one of the other kind is chosen. */
   assert_true (balancer_choose (fixture.balancer, fixture.service, &others).local);
   assert_false (balancer_choose (foreign, fixture.service, &own).local);
   balancer_destroy (foreign);
@@ -254,7 +255,7 @@
   balancer_note_verdict (fixture->balancer, name, &verdict);
 }
 
-/* What turns work away is asked when the others have no slot, and is better than none. */
+/* By default a target that sheds load is chosen only when all others have been tried. */
 static void
 test_targets_that_shed_come_after_the_steady_ones (void **state)
 {
@@ -291,7 +292,8 @@
   assert_int_equal (share (&fixture, 0, tried), ROUNDS);
   balancer_note_path (fixture.balancer, "v0", TRUE);
   assert_true (share (&fixture, 0, NULL) > 0);
-  /* Who asked may be gone when the answer comes: doubt must not last. */
+  /* Doubt expires after a second: the request that pinged the node may be gone before the
+     answer arrives. */
   balancer_doubt_path (fixture.balancer, "v0");
   assert_int_equal (share (&fixture, 0, NULL), 0);
   clock_advance (fixture.clock, SECOND_US);
@@ -310,7 +312,7 @@
   assert_true (shedding_is_on (shedding));
   clock_advance (clock, 2 * SECOND_US);
   assert_false (shedding_is_on (shedding));
-  /* Again soon after: it goes on, and is held off for longer. */
+  /* A second refusal soon afterwards keeps the target shedding for 4 s instead of 2 s. */
   shedding_note (shedding);
   clock_advance (clock, 3 * SECOND_US);
   assert_true (shedding_is_on (shedding));
@@ -320,8 +322,8 @@
   clock_destroy (clock);
 }
 
-/* How the service's sick targets fail decides what a proof of health is (core/proof.h).
- */
+/* A choice is `abrupt` when at least three, and most, of the service's sick targets break
+   off requests at once. Only then does a kept request prove health (core/proof.h). */
 static void
 test_breaking_off_at_once_is_told_from_hanging (void **state)
 {
--- a/core/tests/test-dispatch.c
+++ b/core/tests/test-dispatch.c
@@ -1,4 +1,5 @@
-/* The dispatch of one request: what is tried again, what it costs, what is said when. */
+/* Tests of one request's dispatch: its retries and hedges, their budget, and the outcome
+   that the caller gets. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -18,7 +19,7 @@
   Dispatch *dispatch;
 } Fixture;
 
-/* A dispatch whose first attempt has just been sent. */
+/* Creates a dispatch whose first attempt has just been sent. */
 static Fixture
 setup (gboolean repeatable, guint attempts)
 {
@@ -76,7 +77,7 @@
   assert_int_equal (step.kind, DISPATCH_ANSWER);
   assert_int_equal (step.outcome, OUTCOME_NOT_RUN);
   assert_int_equal (step.retry_after_us, 7000);
-  /* More than a plan asks (test-placement.c). */
+  /* More targets than a placement asks (test-placement.c). */
   assert_int_equal (tries, 32);
   assert_int_equal (dispatch_arrivals (fixture.dispatch), 0);
   teardown (&fixture);
@@ -95,8 +96,8 @@
   teardown (&fixture);
 }
 
-/* The sidecars hold the budget: each that has no room for it refuses a retry, and what
-   they all refuse has not run. */
+/* The sidecars keep the retry budget. A retry that one of them refuses for lack of budget
+   is tried at others, and when all refuse it the request has not run. */
 static void
 test_a_second_arrival_needs_the_budget (void **state)
 {
@@ -130,7 +131,7 @@
   assert_int_equal (dispatch_chosen (fixture.dispatch, TRUE, 0).kind, DISPATCH_SEND);
   step = dispatch_sent (fixture.dispatch, DISPATCH_FAILED, REASON_BROKEN, 0);
   assert_int_equal (step.kind, DISPATCH_ANSWER);
-  assert_int_equal (step.outcome, OUTCOME_DONE); /* the held answer of the first */
+  assert_int_equal (step.outcome, OUTCOME_DONE); /* the kept answer of the first */
   teardown (&fixture);
 }
 
@@ -186,8 +187,8 @@
   assert_false (dispatch_may_hedge (unsafe.dispatch));
   dispatch_beside_sent (two.dispatch);
   assert_false (dispatch_may_hedge (two.dispatch));
-  /* Refused before a target saw it: another may be sent. One that arrived was the last.
-   */
+  /* A hedge that was refused before a target saw it may be sent again, but not one that
+     has reached a target. */
   dispatch_beside_ended (two.dispatch, DISPATCH_REFUSED, REASON_OVERLOAD);
   assert_true (dispatch_may_hedge (two.dispatch));
   dispatch_beside_sent (two.dispatch);
@@ -200,8 +201,8 @@
   teardown (&unsafe);
 }
 
-/* Of two attempts the one that ends first and badly is remembered; the last one decides.
- */
+/* Of two concurrent attempts the last to end decides. If it fails too, a whole answer of
+   the first still counts, and a lost first attempt makes the outcome unknown. */
 static void
 test_the_last_of_two_attempts_decides (void **state)
 {
@@ -228,7 +229,7 @@
   teardown (&lost);
 }
 
-/* A target that says it failed has seen the request, whether or not it is tried again. */
+/* A target that reports a failure has seen the request, whether or not it is retried. */
 static void
 test_a_failure_told_by_the_target_is_an_arrival (void **state)
 {
@@ -245,8 +246,8 @@
   teardown (&unsafe);
 }
 
-/* The users count retries against what callers asked for: a target's calls are not that,
-   and those of a request that is repeated are retries themselves. */
+/* The users count retries against the callers' requests. Calls that targets make do not
+   count as such, and calls for a retried request count as retries. */
 static void
 test_calls_allow_for_no_retries (void **state)
 {
@@ -266,7 +267,7 @@
 
       dispatch_begin (dispatch);
       assert_int_equal (dispatch_retry_kind (dispatch), kinds[i]);
-      /* Firsts are never denied, whatever the budget holds. */
+      /* First attempts are never denied, however little budget is left. */
       assert_true (retry_budget_allows (budget, kinds[i]));
       retry_budget_note (budget, kinds[i]);
       dispatch_destroy (dispatch);
@@ -301,7 +302,8 @@
   clock_destroy (clock);
 }
 
-/* Failures come in bunches: what calm seconds of the window left is still there. */
+/* Failures come in bursts, which may use the budget that quiet seconds of the window have
+   left unused. */
 static void
 test_a_bunch_of_failures_may_use_the_whole_window (void **state)
 {
@@ -318,7 +320,7 @@
   while (retry_budget_withdraw (budget))
     retries++;
   assert_int_equal (retries, 20);
-  /* And no more of it in any other window that holds those. */
+  /* No later window with these first attempts allows more, nor does one without any. */
   clock_advance (clock, WINDOW_US / 2);
   assert_false (retry_budget_has (budget));
   clock_advance (clock, WINDOW_US);
--- a/core/tests/test-fence.c
+++ b/core/tests/test-fence.c
@@ -1,6 +1,7 @@
 /*
- * At most once, and "not run" is true: the C code of both sides under seeded schedules
- * of loss, delay, duplicates, crossing, crashes and pauses, on a paused clock.
+ * Tests that a request runs at most once, and that "not run" is never reported for one
+ * that ran. The C code of ingress and sidecar runs under seeded schedules of loss, delay,
+ * duplication, reordering, crashes and pauses, on manual clocks.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,8 +20,8 @@
 {
   KIND_SUBMIT,
   KIND_FENCE,
-  KIND_SENT, /* answers */
-  KIND_ASKED
+  KIND_SENT, /* the answer to a submission */
+  KIND_ASKED /* the answer to a question to the fence */
 } Kind;
 
 typedef struct
@@ -46,9 +47,9 @@
   Clock *clock;
   FakeSidecar sidecars[SIDECARS];
   Dispatch *dispatch;
-  GArray *network; /* of Packet; any may be delivered, dropped or copied */
+  GArray *network; /* of Packet; each may be delivered, lost or duplicated */
   guint executions;
-  /* The ingress's side. */
+  /* The state of the ingress. */
   DispatchStep step;
   gboolean over;
   guint at;
@@ -148,7 +149,7 @@
     }
 }
 
-/* A sidecar's own progress: it starts or finishes what it has, if anything. */
+/* Lets a sidecar proceed: each queued attempt starts, and each started one finishes. */
 static void
 progress (World *world, guint i)
 {
@@ -219,7 +220,8 @@
     }
 }
 
-/* The ingress hears an answer, if it is to its last attempt and to what it waits for. */
+/* Gives an answer to the ingress, which ignores it unless it is about the latest attempt
+   and answers the current step. */
 static void
 hear (World *world, const Packet *packet)
 {
@@ -242,7 +244,7 @@
     return;
   i = (guint)g_rand_int_range (world->rand, 0, (gint32)world->network->len);
   packet = g_array_index (world->network, Packet, i);
-  /* One in three stays to be delivered again; one in six is lost. */
+  /* One packet in three stays for another delivery; one delivery in six is lost. */
   if (g_rand_int_range (world->rand, 0, 3) != 0)
     g_array_remove_index_fast (world->network, i);
   if (g_rand_int_range (world->rand, 0, 6) == 0)
@@ -266,7 +268,7 @@
 {
   gint64 span = g_rand_int_range (world->rand, 1, 800) * MS_US;
 
-  /* Now and then a long pause: longer than any window. */
+  /* One span in 40 is longer than the fence's window. */
   if (g_rand_int_range (world->rand, 0, 40) == 0)
     span = 3 * WINDOW_US;
   clock_advance (world->clock, span);
@@ -292,11 +294,11 @@
 check (const World *world, guint seed)
 {
   if (world->executions > 1)
-    fail_msg ("schedule %u: ran %u times", seed, world->executions);
+    fail_msg ("schedule %u: the request ran %u times", seed, world->executions);
   if (world->over && world->step.outcome == OUTCOME_NOT_RUN && world->executions > 0)
-    fail_msg ("schedule %u: 'not run' was told, and it ran", seed);
+    fail_msg ("schedule %u: 'not run' was reported, but the request ran", seed);
   if (world->over && world->step.outcome == OUTCOME_DONE && world->executions != 1)
-    fail_msg ("schedule %u: 'done' was told, and it did not run", seed);
+    fail_msg ("schedule %u: 'done' was reported, but the request did not run", seed);
 }
 
 static Outcome
@@ -354,7 +356,7 @@
     outcomes[run_schedule (seed)]++;
   print_message ("done %u, not-run %u, unknown %u\n", outcomes[OUTCOME_DONE],
                  outcomes[OUTCOME_NOT_RUN], outcomes[OUTCOME_UNKNOWN]);
-  /* The schedules must reach all three ends often enough to say anything. */
+  /* Too few schedules with one of the outcomes would prove nothing about it. */
   for (guint i = 0; i < OUTCOME_COUNT; i++)
     assert_true (outcomes[i] > SCHEDULES / 100);
 }
@@ -378,7 +380,7 @@
   assert_int_equal (fence_submit (fence, &late, 5, clock_now (clock), &entry),
                     FENCE_FULL);
   assert_int_equal (fence_size (fence), 64);
-  /* Room comes back; the copy of what was refused must still not run. */
+  /* Even when the table has room again, a copy of the refused attempt must not run. */
   for (guint64 i = 0; i < 64; i++)
     {
       AttemptId id = id_of (i);
--- a/core/tests/test-fingerprint.c
+++ b/core/tests/test-fingerprint.c
@@ -1,4 +1,4 @@
-/* Which requests count as the same, and which as others. */
+/* Tests which requests have the same fingerprint and which have different ones. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -68,7 +68,7 @@
   assert_other (&words);
 }
 
-/* "a" with "bc" is not "ab" with "c". */
+/* The fields "a" and "bc" give another fingerprint than "ab" and "c". */
 static void
 test_words_do_not_run_into_each_other (void **state)
 {
@@ -80,7 +80,8 @@
   assert_false (fingerprint_equal (&a, &b));
 }
 
-/* Who does not know the fleet's secret cannot look for two requests that are alike. */
+/* The fingerprint is keyed, so that nobody without the fleet's secret can search for two
+   requests that collide. */
 static void
 test_another_secret_gives_another_fingerprint (void **state)
 {
@@ -91,7 +92,8 @@
   assert_int_not_equal (a.body, b.body);
 }
 
-/* The head is all that is looked at for a request whose body is not suspected. */
+/* The head leaves the body's bytes out, because the body is digested only for requests
+   whose head is known. */
 static void
 test_the_head_leaves_the_body_out (void **state)
 {
@@ -105,8 +107,8 @@
   assert_int_not_equal (a.body, b.body);
 }
 
-/* The second is that of the path alone, whatever the query, and of a request without one.
- */
+/* A request with a query has a second fingerprint, of the path alone. It is the same for
+   every query, and the only one of a request without a query. */
 static void
 test_the_path_alone_is_a_name_too (void **state)
 {
