--- a/core/tests/test-floor.c
+++ b/core/tests/test-floor.c
@@ -1,5 +1,5 @@
-/* Floors: no schedule of verdicts, departures and reconfigurations lets ejections push
- * the capacity in service below the floor. */
+/* Tests that ejections never push the capacity in service below the floor, under seeded
+ * schedules of verdicts, departures and reconfigurations. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,7 +14,7 @@
 #define STEPS 40
 #define TARGETS_MAX 12
 
-/* A service of `count` targets as an operator would write it. */
+/* Returns a snapshot of one service with `count` targets. */
 static Snapshot *
 make_snapshot (guint64 generation, guint count, guint floor, GRand *rand)
 {
@@ -49,8 +49,8 @@
   return snapshot;
 }
 
-/* Slots that serve, are not draining, and are reachable: ejections may take only these.
- */
+/* Checks that only targets which serve, are not draining and are reachable are ejected,
+   and that the slots left in service are at or above the floor. */
 static void
 check_floor (Balancer *balancer, const Service *service, guint seed)
 {
@@ -77,7 +77,7 @@
               available, service->floor_slots);
 }
 
-/* A request goes to a target that is ejected only as a trial of something repeatable. */
+/* Checks that an ejected target is chosen only as the trial of a repeatable request. */
 static void
 check_choice (Balancer *balancer, const Service *service, gboolean repeatable)
 {
--- a/core/tests/test-latency.c
+++ b/core/tests/test-latency.c
@@ -1,4 +1,5 @@
-/* What is known of how long a route's answers take, and what silence then says. */
+/* Tests the latency estimates of routes, and from which age on a request counts as late
+   or overdue. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +12,7 @@
 #define ROUTE 7u
 #define MEDIAN_US (100.0 * MS_US)
 
-/* A log-normal sample, by the sum of twelve uniform ones. */
+/* Draws a log-normal sample; the sum of twelve uniform ones approximates a normal one. */
 static gint64
 draw (GRand *rand, double median_us, double sd)
 {
@@ -60,7 +61,7 @@
   latency_book_destroy (book);
 }
 
-/* The same rule does for routes of 5 ms and of 2 s. */
+/* The same rule works for routes of 5 ms and of 2 s. */
 static void
 test_silence_is_judged_by_the_routes_own_measure (void **state)
 {
@@ -113,7 +114,7 @@
   assert_int_equal (none.samples, 0);
 }
 
-/* One slow target of three moves neither what the others are compared with. */
+/* One slow target of three does not change the fit that the others are compared with. */
 static void
 test_a_slow_target_is_no_measure_for_the_others (void **state)
 {
--- a/core/tests/test-placement.c
+++ b/core/tests/test-placement.c
@@ -1,4 +1,5 @@
-/* Where a request looks for a slot: the plan under the load patterns that it answers. */
+/* Tests where a request looks for a slot, under the load patterns that placement is made
+   for. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,7 +11,8 @@
 #define SLACK_US (800 * MS_US)
 #define QUESTIONS_MAX 100u
 
-/* Refuses at every step, for reasons in turn; how many targets were asked at each. */
+/* Refuses at every step, with `reasons` in turn, and counts the targets asked at each
+   step in `asked`. Returns their total. */
 static guint
 refuse_all (Placement *placement,
             const Reason *reasons,
@@ -30,7 +32,8 @@
   return total;
 }
 
-/* Everything is full: each place is asked, in order, and the refusal comes soon. */
+/* When everything is full, a few targets are asked at each step, so that the refusal
+   comes soon. */
 static void
 test_in_an_overload_each_place_is_asked_and_no_more (void **state)
 {
@@ -38,7 +41,7 @@
   Placement placement = { 0 };
   guint asked[PLACEMENT_NOWHERE] = { 0 };
 
-  /* Eight for a free slot, and three for a place in a queue. */
+  /* Eight targets are asked for a free slot and three for a place in a queue. */
   assert_int_equal (refuse_all (&placement, full, 1, SLACK_US, asked), 11);
   assert_int_equal (asked[PLACEMENT_OWN_FREE], 4);
   assert_int_equal (asked[PLACEMENT_OWN_QUEUE], 1);
@@ -47,9 +50,9 @@
   assert_int_equal (asked[PLACEMENT_LAST_QUEUE], 2);
 }
 
-/* Half of what an ingress believes of its targets is wrong: sick, leaving, gone. It is
-   mended by as many more questions, and the other halls and queues are asked as before.
- */
+/* Half of the ingress's view of its targets is outdated: they are sick, leaving or gone.
+   Their refusals are compensated by as many further questions, and other halls and queues
+   are asked as before. */
 static void
 test_wrong_beliefs_do_not_use_up_the_tries (void **state)
 {
@@ -64,7 +67,8 @@
   assert_true (asked[PLACEMENT_LAST_QUEUE] >= 2);
 }
 
-/* All that it believes is wrong: it stops looking, and waits where it can. */
+/* When the whole view is outdated, the request stops looking after eight refusals and
+   waits in a queue. */
 static void
 test_with_nothing_but_wrong_beliefs_it_waits_where_it_can (void **state)
 {
@@ -99,8 +103,8 @@
   assert_int_equal (placement_next (&placement, SLACK_US, 0), PLACEMENT_NOWHERE);
 }
 
-/* After a target has failed it looks for a free slot again, with the tries that are left.
- */
+/* After a target has failed, the request looks for a free slot again, with the tries that
+   are left. */
 static void
 test_a_retry_looks_anew (void **state)
 {
@@ -119,7 +123,8 @@
   placement_pass (&placement);
   placement_next (&placement, SLACK_US, 1);
   placement_pass (&placement);
-  /* One that sheds may turn away what has been tried once already. */
+  /* Shedding targets are not asked, because they may refuse a request that has reached a
+     target before. */
   assert_int_equal (placement_next (&placement, SLACK_US, 1), PLACEMENT_LAST_QUEUE);
 }
 
--- a/core/tests/test-proof.c
+++ b/core/tests/test-proof.c
@@ -1,4 +1,5 @@
-/* When a target has lately kept what it was sent, and what that saves in spells. */
+/* Tests when a target counts as having kept a recent request, and how many requests this
+   protects when targets have bad spells. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -41,9 +42,9 @@
 }
 
 /*
- * The load: 40 targets of which three in ten are in a spell at any time, each for 9 s,
- * that breaks off what comes. 250 requests a second, six in ten of them unrepeatable; a
- * target that has broken one off is left out until its spell is over.
+ * The simulated load: 40 targets, of which three in ten are in a spell of 9 s at any time
+ * and break off every request. 250 requests a second, six in ten of them unrepeatable. A
+ * target that has broken off a request is left out until its spell is over.
  */
 #define TARGETS 40u
 #define SPELL_US (9 * SECOND_US)
@@ -89,7 +90,7 @@
     }
 }
 
-/* How many unrepeatable requests are broken off. */
+/* Returns how many unrepeatable requests are broken off. */
 static guint
 lost (gboolean with_proof)
 {
@@ -126,7 +127,7 @@
   guint without = lost (FALSE);
   guint with = lost (TRUE);
 
-  print_message ("%u without, %u with\n", without, with);
+  print_message ("requests broken off: %u without proofs, %u with them\n", without, with);
   assert_true (without > 200);
   assert_true (with * 2 <= without);
 }
--- a/core/tests/test-quarantine.c
+++ b/core/tests/test-quarantine.c
@@ -1,6 +1,6 @@
 /*
- * Which requests are held back, by whom, and when they are let go. Nodes here hear of
- * each other's news when the test says so.
+ * Tests which requests are quarantined, at which nodes, and when they are released. The
+ * nodes exchange news only when a test does so explicitly.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,13 +15,13 @@
 #define SERVICE 7u
 #define VERSION 1u
 #define NEWS_MAX 64u
-/* A machine that has been up for a month: news that lent itself the age of an entry that
-   had no trial yet, 0 on the clock, was taken for implausible by all that heard it, and
-   nothing was held back there. On machines that had just been started all was well. */
+/* The machine has been up for a month. News of an entry without a trial once carried the
+   age of time 0, which peers rejected as implausible, so that they did not quarantine the
+   request. On machines that had just been started the fault did not show. */
 #define UPTIME_US (30 * 24 * 3600 * SECOND_US)
-/* Between ends that one request brings about: it works for some 65 ms first. */
+/* Between crashes that one request causes: it runs for some 65 ms before each. */
 #define APART_US (100 * MS_US)
-/* Until what was found is in force: settling, with room to spare. */
+/* Until a quarantine is in force: QUARANTINE_SETTLE_US, with a margin. */
 #define SETTLED_US (400 * MS_US)
 
 typedef struct
@@ -67,7 +67,7 @@
     quarantine_tick (fixture->nodes[i]);
 }
 
-/* A target beside the node ends under so many requests. */
+/* The target beside a node crashes while it runs `count` requests. */
 static void
 end_under (Fixture *fixture, guint node, const Fingerprint *requests, guint count)
 {
@@ -87,7 +87,7 @@
     quarantine_merge (fixture->nodes[to], &news[i]);
 }
 
-/* All that any knows gets to all. */
+/* Exchanges news until every node has all of it. */
 static void
 tell_all (Fixture *fixture)
 {
@@ -104,7 +104,7 @@
   return quarantine_check (fixture->nodes[node], request).state;
 }
 
-/* Three targets end under it, one after the other, each beside another node. */
+/* Three targets in turn crash under the request, each beside another node. */
 static void
 end_three (Fixture *fixture, const Fingerprint *request)
 {
@@ -115,7 +115,7 @@
     }
 }
 
-/* Held back, with the first trial made: it ended a target too. */
+/* Quarantines the request and makes its first trial, which crashes a target too. */
 static void
 hold (Fixture *fixture, const Fingerprint *request)
 {
@@ -128,7 +128,7 @@
   tell_all (fixture);
 }
 
-/* Three nodes have seen one end each, and a fourth none. */
+/* Three nodes have seen one crash each, and a fourth none. */
 static void
 test_a_node_that_saw_no_end_holds_it_back (void **state)
 {
@@ -155,7 +155,7 @@
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_DOUBTED);
 }
 
-/* Who hears of it twice, in any order, from several, counts it once. */
+/* A crash counts once at a node that hears of it repeatedly, from several others. */
 static void
 test_news_that_is_told_again_counts_once (void **state)
 {
@@ -173,8 +173,8 @@
                     quarantine_digest (fixture->nodes[3]));
 }
 
-/* A hall fails: all its targets end at one moment, each under the same path with an empty
-   body. Nothing has answered anywhere. */
+/* A hall fails: all its targets crash at one moment, each under the same path with an
+   empty body, and no target anywhere has answered that request. */
 static void
 test_a_hall_that_ends_at_once_blames_nobody (void **state)
 {
@@ -190,8 +190,8 @@
   assert_int_equal (state_at (fixture, 0, &sound), QUARANTINE_SUSPECT);
 }
 
-/* Targets go down by turns, and the same request is at work at each; it is answered where
-   they are up. */
+/* Targets crash in turn, each while it runs the same request, which the targets that are
+   up answer. */
 static void
 test_what_is_answered_anywhere_was_not_deadly (void **state)
 {
@@ -211,7 +211,7 @@
     }
 }
 
-/* The answer has come in before the third end's news has: within the time to settle. */
+/* An answer within QUARANTINE_SETTLE_US of the third crash prevents the quarantine. */
 static void
 test_an_answer_before_it_settles_is_in_time (void **state)
 {
@@ -229,8 +229,8 @@
     assert_int_equal (state_at (fixture, i, &sound), QUARANTINE_FREE);
 }
 
-/* Four to ten others are killed at each end beside the one that did it: new ones each
-   time, but for one that comes again at two of the ends. */
+/* Four to eight other requests are at work at each crash that `deadly` causes. They are
+   new ones each time, except for one that is at work at two of the crashes. */
 static void
 test_those_beside_it_are_not_held_back (void **state)
 {
@@ -261,7 +261,8 @@
     }
 }
 
-/* Beside it at three of its four ends: the fourth tells them apart. */
+/* `other` is at work at three of the four crashes that `deadly` causes; the fourth tells
+   them apart. */
 static void
 test_an_end_is_laid_to_whom_most_are_laid_to (void **state)
 {
@@ -281,8 +282,8 @@
   assert_true (state_at (fixture, 3, &other) < QUARANTINE_TRIAL);
 }
 
-/* Nothing tells two apart that were at the same three ends. The first request of each is
-   its trial, so that the sound one is not turned away. */
+/* Two requests that were at work at the same three crashes cannot be told apart. The next
+   request of each is its trial, so that the harmless one is not refused. */
 static void
 test_who_cannot_be_told_apart_is_tried_at_once (void **state)
 {
@@ -308,7 +309,7 @@
     }
 }
 
-/* An end of one that is held back counts against it alone. */
+/* A crash under a quarantined request counts against that request alone. */
 static void
 test_a_trial_blames_nobody_beside_it (void **state)
 {
@@ -326,7 +327,8 @@
   assert_int_equal (state_at (fixture, 0, &other), QUARANTINE_FREE);
 }
 
-/* At once, after a minute, after ten: one at a time, whoever asks. */
+/* Trials are made at once, after a minute and after ten, one at a time in the whole
+   fleet. */
 static void
 test_trials_are_single_and_grow_rare (void **state)
 {
@@ -350,8 +352,8 @@
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_TRIAL);
 }
 
-/* A trial that was broken off by a target in a bad spell is made again soon, but once:
-   each is one more that reaches a target. */
+/* A trial that a target in a bad spell has broken off is soon repeated, but only once,
+   because each repetition reaches one more target. */
 static void
 test_an_undecided_trial_is_made_again_once (void **state)
 {
@@ -384,7 +386,7 @@
     assert_int_equal (state_at (fixture, i, &sound), QUARANTINE_FREE);
 }
 
-/* News from before the answer arrives after it, again and again. */
+/* News from before an answer is ignored when it arrives after it. */
 static void
 test_late_news_brings_nothing_back (void **state)
 {
@@ -401,7 +403,7 @@
   assert_int_equal (state_at (fixture, 2, &sound), QUARANTINE_FREE);
 }
 
-/* A node that starts, or was cut off, has an empty list, which its digest tells. */
+/* A restarted or partitioned node lacks entries, which its digest shows. */
 static void
 test_a_node_that_starts_learns_what_the_fleet_knows (void **state)
 {
@@ -418,7 +420,7 @@
                     quarantine_digest (fixture->nodes[0]));
 }
 
-/* Two parts that do not hear each other count by themselves, and agree afterwards. */
+/* Two partitions of the fleet count separately and agree once they are connected. */
 static void
 test_parts_out_of_touch_agree_when_they_meet (void **state)
 {
@@ -452,7 +454,8 @@
   assert_int_equal (quarantine_digest (fixture->nodes[0]), 0);
 }
 
-/* Nobody has sent it for an hour after its next trial was due. */
+/* An entry is dropped when nobody has sent the request for an hour after its next trial
+   was due. */
 static void
 test_what_is_held_back_is_let_go_in_the_end (void **state)
 {
@@ -463,7 +466,7 @@
   assert_int_equal (quarantine_entries (fixture->nodes[0])->len, 0);
 }
 
-/* A caller may send a new request each time; what is held back outlasts them all. */
+/* A caller that sends a new request each time displaces no quarantined entry. */
 static void
 test_the_list_is_bounded_and_keeps_what_matters (void **state)
 {
@@ -481,9 +484,9 @@
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_HELD);
 }
 
-/* The list is full of requests with two ends each: one more with a first end is not taken
-   up, or nodes that tell each other of more than they can keep would do so without end.
- */
+/* A list full of requests with two crashes each does not accept one with a first crash.
+   Otherwise nodes that know of more entries than they can keep would exchange them
+   endlessly. */
 static void
 test_a_full_list_takes_up_nothing_that_matters_less (void **state)
 {
@@ -508,7 +511,8 @@
     }
 }
 
-/* With more at work than count, one that has been counted once is counted each time. */
+/* When more requests are at work than a crash counts against, known ones are counted
+   first. */
 static void
 test_a_crowded_target_still_counts_who_is_known (void **state)
 {
@@ -528,7 +532,8 @@
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_TRIAL);
 }
 
-/* Another version of the software may not end under it: one trial, while two are left. */
+/* Another version of the software may not crash under the request, so one trial is due at
+   once unless two have been made. */
 static void
 test_a_new_version_may_be_tried (void **state)
 {
@@ -563,7 +568,7 @@
     assert_int_equal (state_at (fixture, i, &deadly), QUARANTINE_FREE);
 }
 
-/* Each change is told a few times and no more, however long nothing changes. */
+/* Each change is sent a few times only, and nothing is sent while nothing changes. */
 static void
 test_news_ends (void **state)
 {
@@ -578,7 +583,7 @@
   assert_int_equal (quarantine_news (fixture->nodes[0], news, NEWS_MAX), 0);
 }
 
-/* Words that no node says. */
+/* News with values that no node sends is ignored. */
 static void
 test_implausible_news_is_passed_over (void **state)
 {
@@ -598,7 +603,7 @@
   assert_int_equal (quarantine_entries (fixture->nodes[0])->len, 0);
 }
 
-/* Of ten ends, seen in another order by each node, all keep the same six. */
+/* Of ten crashes, which each node hears of in another order, all keep the same six. */
 static void
 test_nodes_that_heard_in_another_order_agree (void **state)
 {
--- a/core/tests/test-retry.c
+++ b/core/tests/test-retry.c
@@ -1,6 +1,6 @@
-/* Retry budgets that many sidecars share: no schedule of requests, bunches of failures
- * and restarts lets a service receive more retries in any window than the fleet may make.
- */
+/* Tests that a service receives no more retries in any window than the fleet's budget
+ * allows, under seeded schedules of requests, bursts of failures and restarts of the
+ * sidecars that share the budget. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -27,7 +27,7 @@
   Clock *clock;
   GRand *rand;
   Holder holders[HOLDERS];
-  GArray *firsts; /* of gint64: when */
+  GArray *firsts; /* of gint64: the time of each */
   GArray *retries;
 } Fleet;
 
@@ -67,8 +67,9 @@
   return n;
 }
 
-/* The window that ends with each retry, as the users count it: against the requests of
-   the window, of the one before, or of the one half a window before. */
+/* Checks the window that ends with each retry, as the users count it: against the
+   requests of that window, of the one before, or of the one half a window before,
+   whichever has the most. */
 static void
 check (const Fleet *fleet, guint seed)
 {
@@ -81,7 +82,7 @@
       for (gint64 back = 0; back <= WINDOW_US; back += WINDOW_US / 2)
         firsts = MAX (firsts, count (fleet->firsts, to - WINDOW_US - back, to - back));
       if (spent * 100 > PERCENT * firsts + 100 * BURST)
-        fail_msg ("schedule %u: %u retries beside %u requests", seed, spent, firsts);
+        fail_msg ("schedule %u: %u retries for %u first attempts", seed, spent, firsts);
     }
 }
 
@@ -103,7 +104,7 @@
 
       if (what == 0)
         start (&fleet, holder, FALSE);
-      /* Failures come in bunches. */
+      /* Failures come in bursts. */
       else if (what < 20)
         for (guint i = 0; i < 40; i++)
           ask (&fleet, &fleet.holders[g_rand_int_range (fleet.rand, 0, HOLDERS)],
@@ -128,7 +129,7 @@
     run (seed);
 }
 
-/* The budget is there from the first second of a fleet. */
+/* A sidecar's first incarnation may use its burst at once; a restarted one may not. */
 static void
 test_a_first_life_may_burst_at_once (void **state)
 {
--- a/core/tests/test-strict.c
+++ b/core/tests/test-strict.c
@@ -1,4 +1,5 @@
-/* Strict detection: one broken exchange ejects, trials decide on the return. */
+/* Tests strict detection: one broken exchange makes a target sick, and trials decide when
+   it is healthy again. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -105,7 +106,7 @@
   teardown (&fixture);
 }
 
-/* What was sent before the target fell sick says nothing of how it does since. */
+/* A request sent before the target became sick is no evidence of its state since. */
 static void
 test_older_work_that_fails_is_no_trial (void **state)
 {
@@ -129,7 +130,7 @@
   observe (&fixture, TRUE, TRUE);
   clock_advance (fixture.clock, 2 * SECOND_US);
   assert_true (is_sick (&fixture));
-  /* Trials come by then; this is for a service that has no repeatable requests. */
+  /* Trials usually come earlier; this is for services without repeatable requests. */
   clock_advance (fixture.clock, 1200 * MS_US);
   assert_false (is_sick (&fixture));
   teardown (&fixture);
--- a/core/tests/test-warmup.c
+++ b/core/tests/test-warmup.c
@@ -1,4 +1,4 @@
-/* How fast a cold target is given work, by itself and at its admission. */
+/* Tests how fast a cold target is given requests, without and with admission. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -8,8 +8,8 @@
 
 #define PER_S 13.0
 #define BURST 4.0
-/* What a cold target bears in any second, as the users state it: 1.5 times its rate, and
-   8 more. */
+/* The most requests that a cold target can take in any second, as the users state it: 1.5
+   times its rate, and 8 more. */
 #define BEARS_IN_A_SECOND (guint) (PER_S * 1.5 + 8)
 
 typedef struct
@@ -35,7 +35,8 @@
   clock_destroy (fixture->clock);
 }
 
-/* Starts as many as it may in each millisecond of a span; the most in any one second. */
+/* Starts as many requests as allowed in each millisecond of a span. Returns the most in
+   any one second, or G_MAXUINT after 10,000 starts. */
 static guint
 most_in_a_second (Fixture *fixture, gint64 span_us)
 {
@@ -88,8 +89,8 @@
   end (&fixture);
 }
 
-/* What it was given just before, while it was warm, counts: the bound is on any second.
- */
+/* Starts just before the target turned cold count too, because the bound holds for any
+   second. */
 static void
 test_starts_before_it_turned_cold_weigh_on_it (void **state)
 {
@@ -135,8 +136,9 @@
   end (&fixture);
 }
 
-/* Each way to a slot is bounded: offers, slots held before the request, trials, and what
-   waits and has its turn. What may not start waits where it can be in time. */
+/* The bound holds for every way to a slot: offers, slots reserved before the request
+   comes, trials, and queued requests. A request that may not start waits if it can
+   be in time. */
 static void
 test_admission_starts_no_more_than_it_bears (void **state)
 {
@@ -168,7 +170,7 @@
   assert_in_range (started, 1, BEARS_IN_A_SECOND);
   assert_true (queued > 0);
   assert_false (admission_is_free (admission));
-  /* Ingresses are told that there is no room. */
+  /* The limit that ingresses hear of leaves no room. */
   assert_int_equal (admission_limit (admission), started);
   for (guint ms = 0; ms < 1000; ms++)
     {
