--- a/core/tests/test-config.c
+++ b/core/tests/test-config.c
@@ -1,4 +1,5 @@
-/* Configuration: faults with their paths, routes, plans, and the users' full size. */
+/* Tests of the configuration: faults with their JSON paths, routes, plans, evacuations,
+   and a configuration of the users' full size. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -29,7 +30,8 @@
   return plan;
 }
 
-/* What nodes do with an accepted head: the parts they have, and the ones fetched. */
+/* Builds the snapshot of a plan as a node does for an accepted head: from the parts of
+   `base` and the new ones of the plan. Takes over the reference to `base`. */
 static Snapshot *
 apply (Snapshot *base, const Plan *plan)
 {
@@ -237,7 +239,8 @@
   g_string_free (intent, TRUE);
 }
 
-/* All targets of a hall, and no others; taken back alike. */
+/* An evacuation stops all targets of a hall and no others; taking the hall back restores
+   them. */
 static void
 test_a_hall_is_evacuated_and_taken_back (void **state)
 {
--- a/core/tests/test-directory.c
+++ b/core/tests/test-directory.c
@@ -1,4 +1,4 @@
-/* Targets that register themselves, and routes that are shared out. */
+/* Tests of targets that register themselves, and of routes split among services. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -108,7 +108,8 @@
   snapshot_unref (snapshot);
 }
 
-/* 100 nodes with two requests each: the small share gets its tenth all the same. */
+/* With two requests at each of 100 nodes, the service with a weight of 10 % still gets
+   about a tenth of them. */
 static void
 test_shares_follow_the_weights_over_a_fleet (void **state)
 {
--- a/core/tests/test-evacuations.c
+++ b/core/tests/test-evacuations.c
@@ -1,4 +1,5 @@
-/* Which data halls are evacuated: the newer reading holds, however it comes. */
+/* Tests the set of evacuated data halls: the newest reading is in force, in whatever
+   order readings arrive. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -26,7 +27,7 @@
   assert_false (evacuations_has (evacuations, "a"));
   assert_true (take (evacuations, 1, 100, "a"));
   assert_true (evacuations_has (evacuations, "a"));
-  /* Late news of the time before, and the same again. */
+  /* An older reading that arrives late or one of the same revision changes nothing. */
   assert_false (take (evacuations, 1, 90, ""));
   assert_false (take (evacuations, 1, 100, "b"));
   assert_true (evacuations_has (evacuations, "a"));
@@ -36,8 +37,8 @@
   evacuations_destroy (evacuations);
 }
 
-/* A reading that says the same makes older ones void: an evacuation of between, heard of
-   late, has been taken back since. */
+/* A reading that changes nothing still supersedes older ones: here an evacuation from
+   before it arrives late, and has been taken back since. */
 static void
 test_a_reading_without_news_is_newer_all_the_same (void **state)
 {
@@ -49,8 +50,8 @@
   evacuations_destroy (evacuations);
 }
 
-/* A store that comes back from an older copy gives its revisions out again: its era goes
-   before them. */
+/* A store restored from an older copy issues its revisions again, so readings are ordered
+   by era first. */
 static void
 test_an_era_goes_before_any_revision (void **state)
 {
--- a/core/tests/test-members.c
+++ b/core/tests/test-members.c
@@ -1,4 +1,4 @@
-/* What answers to probes say of a member. */
+/* Tests how answers to probes change a member's status. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,7 +14,7 @@
   Members *members;
 } Fixture;
 
-/* Node "a" that knows a node "b" of its hall. */
+/* Creates node "a", which knows node "b" of the same hall. */
 static Fixture
 setup (void)
 {
@@ -42,7 +42,7 @@
   clock_destroy (fixture->clock);
 }
 
-/* Sends the next probe, which is for "b"; its number. */
+/* Sends the next probe, which goes to "b", and returns its sequence number. */
 static guint
 probe (Fixture *fixture)
 {
@@ -74,7 +74,7 @@
   teardown (&fixture);
 }
 
-/* A VM was replaced, and the one that has its address now answers every probe. */
+/* The member's VM was replaced, and the VM that took over its address answers probes. */
 static void
 test_an_answer_in_another_name_ends_a_member (void **state)
 {
@@ -85,7 +85,7 @@
   teardown (&fixture);
 }
 
-/* Helpers answer in their own names. */
+/* Helpers answer under their own names. */
 static void
 test_an_answer_through_a_helper_keeps_a_member (void **state)
 {
--- a/core/tests/test-pack.c
+++ b/core/tests/test-pack.c
@@ -1,4 +1,4 @@
-/* Parts of a configuration, packed for the way between nodes. */
+/* Tests of configuration parts that are compressed for the transfer between nodes. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +11,7 @@
 #define ROUTES 66u
 #define TARGETS 12000u
 
-/* A shard as one of 4,200 routes has it. */
+/* Returns a shard of the size that it has with 4,200 routes in the configuration. */
 static GBytes *
 shard_text (void)
 {
@@ -28,9 +28,9 @@
 }
 
 /*
- * When 1,400 routes were added, all 64 shards of 79 nodes changed, and 700 KB went to
- * each over links of 10 Mbit/s, much of it from the same few nodes: requests waited
- * behind. The texts repeat themselves and shrink to a fifth at least.
+ * Guards against transfers that delay requests: adding 1,400 routes changes all 64
+ * shards, and 700 KB went to each of 79 nodes over links of 10 Mbit/s, mostly from the
+ * same few nodes. The texts are repetitive and must shrink to a fifth or less.
  */
 static void
 test_a_shard_travels_in_a_fifth_of_its_bytes (void **state)
@@ -66,7 +66,7 @@
   json_faults_destroy (faults);
 }
 
-/* A few bytes may unpack to more than a node has memory for. */
+/* A few bytes may unpack to more than a node's memory holds. */
 static void
 test_unpacking_is_bounded (void **state)
 {
@@ -81,7 +81,7 @@
   assert_null (pack_open (packed_more, CONFIG_PART_MAX));
 }
 
-/* The largest part that is planned: all targets of a service are one. */
+/* Returns a part of the largest planned size, a service with all of its targets. */
 static GBytes *
 service_text (void)
 {
@@ -96,8 +96,8 @@
   return g_string_free_to_bytes (text);
 }
 
-/* A part that one node has in force and hands out must be one that the others take: who
-   asks another node for it does not turn to the platform after a bad answer. */
+/* The others must accept each part that a node has in force and passes on, because a node
+   does not fall back to the platform after a bad part from a peer. */
 static void
 test_what_one_node_holds_the_others_take (void **state)
 {
--- a/core/tests/test-settings.c
+++ b/core/tests/test-settings.c
@@ -1,5 +1,5 @@
-/* The settings of a node: every fault is named, and figures that others choose are taken.
- */
+/* Tests of a node's settings: every fault is reported, and all values that a deployment
+   may choose are accepted. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -30,7 +30,7 @@
   json_faults_destroy (faults);
 }
 
-/* Valid settings with two places to fill: of "service_defaults" and of "limits". */
+/* Returns valid settings with these members of "service_defaults" and of "limits". */
 static char *
 settings_text (const char *defaults, const char *limits)
 {
@@ -73,7 +73,8 @@
   json_faults_destroy (faults);
 }
 
-/* A supervisor has been seen to count from up to 0.7 s after the signal came. */
+/* A supervisor may start to count the grace up to 0.7 s after the signal, as was seen.
+   The cut must be in the last sixth of such a grace too. */
 static void
 test_a_stop_cuts_in_the_last_sixth_of_a_grace_that_is_counted_late (void **state)
 {
@@ -112,7 +113,7 @@
   json_faults_destroy (faults);
 }
 
-/* Figures that a deployment gives its fleet: whole, fractional, none, tiny, huge. */
+/* A deployment may set whole, fractional, tiny and huge values, zero, or none. */
 static void
 test_a_start_takes_any_figure_of_a_deployment (void **state)
 {
--- a/core/tests/test-succession.c
+++ b/core/tests/test-succession.c
@@ -1,4 +1,4 @@
-/* Heartbeats that come late, of starts that have crashed. */
+/* Tests of late heartbeats from target starts that have crashed. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -30,7 +30,7 @@
   clock_destroy (fixture->clock);
 }
 
-/* One heartbeat, an interval after the last. */
+/* Delivers a heartbeat, one interval after the previous one. */
 static SuccessionAnswer
 beat (Fixture *fixture, const char *name, gint64 sequence)
 {
@@ -51,7 +51,7 @@
   teardown (&fixture);
 }
 
-/* The sender has crashed, and its next start has registered. */
+/* The heartbeat comes after its sender has crashed and the next start has registered. */
 static void
 test_a_late_heartbeat_of_a_crashed_start_changes_nothing (void **state)
 {
@@ -67,8 +67,8 @@
   teardown (&fixture);
 }
 
-/* The node has started anew and knows nothing of the crash: the late heartbeat takes
-   over, and the one that lives comes back by going on. */
+/* The node has restarted and does not know of the crash, so the late heartbeat takes
+   over. The live start becomes current again because its heartbeats go on. */
 static void
 test_a_late_heartbeat_that_is_taken_for_a_start_does_not_last (void **state)
 {
@@ -96,7 +96,7 @@
   teardown (&fixture);
 }
 
-/* Its word that it ends may come before any heartbeat is heard here. */
+/* A start's announcement that it ends may come before any of its heartbeats. */
 static void
 test_an_end_that_comes_first_is_remembered (void **state)
 {
@@ -108,7 +108,7 @@
   teardown (&fixture);
 }
 
-/* A target that starts again under its identifier counts its heartbeats anew. */
+/* A target that restarts under the same identifier counts its heartbeats from 1 again. */
 static void
 test_a_start_under_the_same_identifier_takes_over (void **state)
 {
@@ -125,7 +125,7 @@
     }
   assert_int_equal (beat (&fixture, second, 1), SUCCESSION_LATE);
   assert_int_equal (beat (&fixture, second, 2), SUCCESSION_SAME);
-  /* Nor does one that does not say when it began. */
+  /* A heartbeat without a start time does not take over either. */
   assert_int_equal (beat (&fixture, "i-1", 50), SUCCESSION_LATE);
   succession_end (fixture.succession, first);
   assert_string_equal (succession_present (fixture.succession), second);
--- a/core/tests/test-suspension.c
+++ b/core/tests/test-suspension.c
@@ -1,10 +1,9 @@
 /*
- * A machine that is suspended for seconds. Its steady clock stood still meanwhile, so
- * that a node took all that it held for as young as before: requests borrowed out of an
- * allowance, good for half a second, were spent seconds later; members that had gone
- * counted as heard just now; deadlines that had passed were waited for. The clock counts
- * such time now, and what follows a jump of it is looked at here, one thing after the
- * other.
+ * Tests of a machine that is suspended for seconds. The monotonic clock stands still
+ * during a suspension, so that a node would take all its state for recent: it would use
+ * requests lent for half a second seconds later, count departed members as just heard
+ * from, and wait for deadlines that have passed. The node's clock counts suspended time,
+ * and these tests check how each component handles the jump.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,10 +22,10 @@
 #define SUSPENDED_US (7 * SECOND_US)
 #define STEADY_S 100
 
-/* Seconds for which the machine has been suspended so far. */
+/* How many seconds the machine has been suspended so far. */
 static time_t suspended_s;
 
-/* The kernel's clocks, in place of the C library's function. */
+/* Replaces the C library's function; only CLOCK_BOOTTIME includes suspended time. */
 int
 clock_gettime (clockid_t id, struct timespec *now)
 {
@@ -56,14 +55,14 @@
   allowance_purse_add (purse, "acme", 5, asked_us);
   clock_advance (clock, SUSPENDED_US);
   assert_false (allowance_purse_spend (purse, "acme"));
-  /* Nor is what a lender said before and is read only now. */
+  /* Requests lent before the suspension and added only now are not used either. */
   allowance_purse_add (purse, "acme", 5, asked_us);
   assert_false (allowance_purse_spend (purse, "acme"));
   allowance_purse_destroy (purse);
   clock_destroy (clock);
 }
 
-/* All that waited in a queue is refused at once, and nothing of it starts. */
+/* All waiting requests expire at once, and none of them starts. */
 static void
 test_what_waited_past_its_deadline_does_not_start (void **state)
 {
@@ -84,7 +83,7 @@
   clock_destroy (clock);
 }
 
-/* A request whose time is over is answered, not sent: it has not run. */
+/* A request whose deadline has passed is answered as not run instead of being sent. */
 static void
 test_a_request_whose_time_is_over_is_not_sent (void **state)
 {
@@ -106,7 +105,7 @@
   clock_destroy (clock);
 }
 
-/* A reading of before the suspension is older than the fence remembers. */
+/* A clock reading from before the suspension is older than the fence's window. */
 static void
 test_the_fence_takes_nothing_from_before_its_window (void **state)
 {
@@ -123,8 +122,8 @@
   clock_destroy (clock);
 }
 
-/* All others were silent for as long as this node did not listen: one probe that was on
-   its way makes one suspect, and nobody dead. */
+/* A node that heard nobody during a suspension considers none of the others dead; the one
+   probe in flight makes at most its subject suspect. */
 static void
 test_the_others_are_not_thought_dead (void **state)
 {
@@ -158,7 +157,7 @@
   clock_destroy (clock);
 }
 
-/* What is held back is tried again by the time that has passed, slept through or not. */
+/* A quarantined request's next trial is due by elapsed time, including suspended time. */
 static void
 test_the_quarantine_goes_on (void **state)
 {
