--- a/core/tests/test-absence.c
+++ b/core/tests/test-absence.c
@@ -7,17 +7,17 @@
 
 #include <core/absence.h>
 
-#define PATIENCE_US (60 * SECOND_US)
+#define ABSENCE_LIMIT_US (60 * SECOND_US)
 #define NODES 5u
 
 static void
 test_only_a_long_absence_counts (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
-  Absences *absences = absences_create (PATIENCE_US, clock);
+  Absences *absences = absences_create (ABSENCE_LIMIT_US, clock);
 
   assert_false (absences_note (absences, "a", TRUE));
-  clock_advance (clock, PATIENCE_US - 1);
+  clock_advance (clock, ABSENCE_LIMIT_US - 1);
   assert_false (absences_note (absences, "a", TRUE));
   clock_advance (clock, 1);
   assert_true (absences_note (absences, "a", TRUE));
@@ -26,13 +26,13 @@
 }
 
 static void
-test_a_return_begins_it_anew (void **state)
+test_a_return_restarts_the_absence (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
-  Absences *absences = absences_create (PATIENCE_US, clock);
+  Absences *absences = absences_create (ABSENCE_LIMIT_US, clock);
 
   absences_note (absences, "a", TRUE);
-  clock_advance (clock, PATIENCE_US);
+  clock_advance (clock, ABSENCE_LIMIT_US);
   assert_false (absences_note (absences, "a", FALSE));
   assert_false (absences_note (absences, "a", TRUE));
   absences_destroy (absences);
@@ -42,7 +42,7 @@
 /* Returns the members as node `self` sees them, in a fleet of NODES nodes of which node
    `dead` is dead. */
 static Members *
-view_of (guint self, guint dead, GRand *rand, Clock *clock)
+members_seen_by (guint self, guint dead, GRand *rand, Clock *clock)
 {
   g_autofree char *name = g_strdup_printf ("n%u", self);
   Member own = { .node = name, .hall = "h", .address = "127.0.0.1:1", .incarnation = 1 };
@@ -70,7 +70,7 @@
 }
 
 static void
-test_exactly_one_of_the_living_removes (void **state)
+test_exactly_one_live_node_removes (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
   GRand *rand = g_rand_new_with_seed (1);
@@ -82,7 +82,8 @@
 
       for (guint self = 0; self < NODES; self++)
         {
-          Members *members = self == dead ? NULL : view_of (self, dead, rand, clock);
+          Members *members =
+              self == dead ? NULL : members_seen_by (self, dead, rand, clock);
 
           if (members)
             count += absences_is_responsible (members, gone);
@@ -99,8 +100,8 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_only_a_long_absence_counts),
-    cmocka_unit_test (test_a_return_begins_it_anew),
-    cmocka_unit_test (test_exactly_one_of_the_living_removes),
+    cmocka_unit_test (test_a_return_restarts_the_absence),
+    cmocka_unit_test (test_exactly_one_live_node_removes),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-admission-load.c
+++ b/core/tests/test-admission-load.c
@@ -19,7 +19,7 @@
 typedef struct
 {
   guint priority;
-  gint64 came_us;
+  gint64 arrived_us;
   gint64 ends_us; /* 0 until the request starts */
   gboolean refused;
 } Item;
@@ -68,7 +68,7 @@
   Item *displaced;
 
   item->priority = priority;
-  item->came_us = now;
+  item->arrived_us = now;
   switch (admission_offer (replay->admission, item, &order))
     {
     case ADMISSION_START:
@@ -125,7 +125,7 @@
 static gboolean
 is_on_time (const Item *item)
 {
-  return item->ends_us > 0 && item->ends_us <= item->came_us + OBJECTIVE_US + STEP_US;
+  return item->ends_us > 0 && item->ends_us <= item->arrived_us + OBJECTIVE_US + STEP_US;
 }
 
 /* Returns the percentage of requests on time among those that came from `from_us` up to
@@ -137,7 +137,7 @@
   guint good = 0;
 
   for (guint i = 0; i < replay->count; i++)
-    if (replay->items[i].came_us >= from_us && replay->items[i].came_us < to_us)
+    if (replay->items[i].arrived_us >= from_us && replay->items[i].arrived_us < to_us)
       {
         came++;
         good += is_on_time (&replay->items[i]);
@@ -150,7 +150,7 @@
    order of arrival, the backlog would make the next seconds late as well (25 % on time
    instead of 100 %). */
 static void
-test_a_burst_makes_nothing_late_that_comes_after_it (void **state)
+test_a_burst_does_not_delay_later_requests (void **state)
 {
   Replay *replay = replay_create ();
   gint64 began;
@@ -166,7 +166,7 @@
 /* During an overload the slots serve requests that can still be on time before those that
    are late already. */
 static void
-test_in_a_burst_half_is_on_time_and_first_what_matters_more (void **state)
+test_an_overload_serves_half_on_time_by_priority (void **state)
 {
   Replay *replay = replay_create ();
   guint high = 0;
@@ -187,7 +187,7 @@
 
 /* Late requests are served once there is room, instead of being refused. */
 static void
-test_what_is_late_is_served_when_the_load_is_over (void **state)
+test_late_requests_are_served_after_an_overload (void **state)
 {
   Replay *replay = replay_create ();
   guint lost = 0;
@@ -202,7 +202,7 @@
 
 /* In a full queue a late request is displaced by one that can be on time. */
 static void
-test_what_is_late_makes_room (void **state)
+test_late_requests_make_room (void **state)
 {
   Replay *replay = replay_create ();
   guint refused = 0;
@@ -224,10 +224,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_a_burst_makes_nothing_late_that_comes_after_it),
-    cmocka_unit_test (test_in_a_burst_half_is_on_time_and_first_what_matters_more),
-    cmocka_unit_test (test_what_is_late_is_served_when_the_load_is_over),
-    cmocka_unit_test (test_what_is_late_makes_room),
+    cmocka_unit_test (test_a_burst_does_not_delay_later_requests),
+    cmocka_unit_test (test_an_overload_serves_half_on_time_by_priority),
+    cmocka_unit_test (test_late_requests_are_served_after_an_overload),
+    cmocka_unit_test (test_late_requests_make_room),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-admission.c
+++ b/core/tests/test-admission.c
@@ -104,7 +104,7 @@
 }
 
 static void
-test_nothing_waits_that_could_not_start_in_time (void **state)
+test_requests_that_cannot_start_in_time_are_refused (void **state)
 {
   Fixture fixture = setup ();
 
@@ -127,7 +127,7 @@
 /* `start_by_us` bounds the wait where the deadline would allow a longer one: a request is
    refused if it could not start by then, and expires if it has not. */
 static void
-test_nothing_waits_longer_than_it_is_worth (void **state)
+test_the_wait_is_bounded_by_start_by (void **state)
 {
   Fixture fixture = setup ();
   AdmissionOrder soon = { 1, 60 * SECOND_US, 0 };
@@ -214,8 +214,8 @@
     cmocka_unit_test (test_slots_are_exact),
     cmocka_unit_test (test_a_trial_goes_beyond_the_slots),
     cmocka_unit_test (test_queue_is_bounded_and_by_priority),
-    cmocka_unit_test (test_nothing_waits_that_could_not_start_in_time),
-    cmocka_unit_test (test_nothing_waits_longer_than_it_is_worth),
+    cmocka_unit_test (test_requests_that_cannot_start_in_time_are_refused),
+    cmocka_unit_test (test_the_wait_is_bounded_by_start_by),
     cmocka_unit_test (test_limit_shrinks_with_slowness_and_comes_back),
     cmocka_unit_test (test_retries_are_a_share_of_first_attempts),
   };
--- a/core/tests/test-allowance.c
+++ b/core/tests/test-allowance.c
@@ -136,7 +136,7 @@
 /* Requests within the allowance are never refused: neither a burst after a rest nor the
    account's full rate for 100 s. */
 static void
-test_what_is_within_is_lent (void **state)
+test_requests_within_the_allowance_are_lent (void **state)
 {
   const AllowanceTerms terms = { 8, 8 };
   Clock *clock = clock_create_manual (100 * SECOND_US);
@@ -155,7 +155,7 @@
 }
 
 static void
-test_who_is_refused_is_told_when (void **state)
+test_a_refusal_says_when_to_retry (void **state)
 {
   const AllowanceTerms terms = { 4, 0 };
   Clock *clock = clock_create_manual (100 * SECOND_US);
@@ -245,7 +245,7 @@
 }
 
 static void
-test_what_is_lent_is_good_for_its_time (void **state)
+test_lent_requests_expire (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
   AllowanceCache *cache = allowance_cache_create (clock);
@@ -260,7 +260,7 @@
 }
 
 static void
-test_only_busy_nodes_keep_a_reserve (void **state)
+test_only_busy_nodes_prefetch (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
   AllowanceCache *cache = allowance_cache_create (clock);
@@ -283,7 +283,7 @@
 }
 
 static void
-test_an_empty_lender_is_passed_over_for_its_time (void **state)
+test_an_empty_lender_is_paused (void **state)
 {
   static const char *const lenders[] = { "a", "b" };
   Clock *clock = clock_create_manual (SECOND_US);
@@ -314,13 +314,13 @@
     cmocka_unit_test (test_a_flood_stays_within_the_bound),
     cmocka_unit_test (test_restarts_lend_nothing_twice),
     cmocka_unit_test (test_a_lowered_allowance_is_in_force_at_once),
-    cmocka_unit_test (test_what_is_within_is_lent),
-    cmocka_unit_test (test_who_is_refused_is_told_when),
+    cmocka_unit_test (test_requests_within_the_allowance_are_lent),
+    cmocka_unit_test (test_a_refusal_says_when_to_retry),
     cmocka_unit_test (test_lenders_are_agreed_on_and_in_different_halls),
     cmocka_unit_test (test_a_small_fleet_has_fewer_lenders),
-    cmocka_unit_test (test_what_is_lent_is_good_for_its_time),
-    cmocka_unit_test (test_only_busy_nodes_keep_a_reserve),
-    cmocka_unit_test (test_an_empty_lender_is_passed_over_for_its_time),
+    cmocka_unit_test (test_lent_requests_expire),
+    cmocka_unit_test (test_only_busy_nodes_prefetch),
+    cmocka_unit_test (test_an_empty_lender_is_paused),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-balancer.c
+++ b/core/tests/test-balancer.c
@@ -106,7 +106,7 @@
 }
 
 static void
-test_a_slow_target_kept_for_the_floor_helps_out (void **state)
+test_a_slow_target_kept_for_the_floor_gets_overflow (void **state)
 {
   Fixture fixture = setup ();
 
@@ -120,7 +120,7 @@
 }
 
 static void
-test_a_failing_target_is_no_choice_where_healthy_ones_were_tried (void **state)
+test_a_failing_target_is_not_chosen_after_healthy_ones (void **state)
 {
   Fixture fixture = setup ();
   g_autoptr (GPtrArray) tried = g_ptr_array_new ();
@@ -136,7 +136,7 @@
 }
 
 static void
-test_with_all_failing_any_is_better_than_none (void **state)
+test_with_all_failing_one_is_still_chosen (void **state)
 {
   Fixture fixture = setup ();
   BalancerCriteria criteria = { .trial = BALANCER_NO_TRIAL };
@@ -209,7 +209,7 @@
 /* The first trial comes within 2 s in a large fleet too, so that healthy targets ejected
    by mistake soon get requests again. */
 static void
-test_a_large_fleet_tries_at_once (void **state)
+test_a_large_fleet_starts_trials_soon (void **state)
 {
   guint count = 0;
 
@@ -231,7 +231,7 @@
 }
 
 static void
-test_halls_are_kept_apart_as_wished (void **state)
+test_the_preferred_halls_are_chosen_first (void **state)
 {
   Fixture fixture = setup ();
   Balancer *foreign = balancer_create ("elsewhere", fixture.rand, fixture.clock);
@@ -257,7 +257,7 @@
 
 /* By default a target that sheds load is chosen only when all others have been tried. */
 static void
-test_targets_that_shed_come_after_the_steady_ones (void **state)
+test_shedding_targets_are_chosen_last (void **state)
 {
   Fixture fixture = setup ();
   g_autoptr (GPtrArray) tried = g_ptr_array_new ();
@@ -279,7 +279,7 @@
 }
 
 static void
-test_a_doubtful_node_gets_only_what_nobody_else_can_take (void **state)
+test_a_doubtful_node_is_chosen_last (void **state)
 {
   Fixture fixture = setup ();
   g_autoptr (GPtrArray) tried = g_ptr_array_new ();
@@ -325,7 +325,7 @@
 /* A choice is `abrupt` when at least three, and most, of the service's sick targets break
    off requests at once. Only then does a kept request prove health (core/proof.h). */
 static void
-test_breaking_off_at_once_is_told_from_hanging (void **state)
+test_abrupt_failures_differ_from_hanging (void **state)
 {
   static const struct
   {
@@ -362,18 +362,18 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_a_failing_target_kept_for_the_floor_gets_no_overflow),
-    cmocka_unit_test (test_a_slow_target_kept_for_the_floor_helps_out),
-    cmocka_unit_test (test_a_failing_target_is_no_choice_where_healthy_ones_were_tried),
-    cmocka_unit_test (test_with_all_failing_any_is_better_than_none),
+    cmocka_unit_test (test_a_slow_target_kept_for_the_floor_gets_overflow),
+    cmocka_unit_test (test_a_failing_target_is_not_chosen_after_healthy_ones),
+    cmocka_unit_test (test_with_all_failing_one_is_still_chosen),
     cmocka_unit_test (test_a_closed_path_gets_nothing_until_it_opens),
     cmocka_unit_test (test_trials_are_paced),
     cmocka_unit_test (test_trials_in_other_halls_are_shared),
-    cmocka_unit_test (test_a_large_fleet_tries_at_once),
-    cmocka_unit_test (test_halls_are_kept_apart_as_wished),
-    cmocka_unit_test (test_targets_that_shed_come_after_the_steady_ones),
-    cmocka_unit_test (test_a_doubtful_node_gets_only_what_nobody_else_can_take),
+    cmocka_unit_test (test_a_large_fleet_starts_trials_soon),
+    cmocka_unit_test (test_the_preferred_halls_are_chosen_first),
+    cmocka_unit_test (test_shedding_targets_are_chosen_last),
+    cmocka_unit_test (test_a_doubtful_node_is_chosen_last),
     cmocka_unit_test (test_a_target_sheds_for_a_while_after_a_refusal),
-    cmocka_unit_test (test_breaking_off_at_once_is_told_from_hanging),
+    cmocka_unit_test (test_abrupt_failures_differ_from_hanging),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-config.c
+++ b/core/tests/test-config.c
@@ -165,7 +165,7 @@
 }
 
 static void
-test_plan_is_named_by_its_result_and_base (void **state)
+test_plan_id_depends_on_result_and_base (void **state)
 {
   Snapshot *base = apply_intent (snapshot_create_empty (), two_targets);
   Plan *one = make_plan (base, "{\"drain\":[\"a\"]}", NULL);
@@ -277,7 +277,7 @@
     cmocka_unit_test (test_a_hall_is_evacuated_and_taken_back),
     cmocka_unit_test (test_faults_name_their_path),
     cmocka_unit_test (test_longest_prefix_by_whole_segments),
-    cmocka_unit_test (test_plan_is_named_by_its_result_and_base),
+    cmocka_unit_test (test_plan_id_depends_on_result_and_base),
     cmocka_unit_test (test_plan_below_a_floor_counts_healthy_targets_only),
     cmocka_unit_test (test_full_size_loads_and_one_change_touches_one_part),
   };
--- a/core/tests/test-directory.c
+++ b/core/tests/test-directory.c
@@ -42,7 +42,7 @@
 }
 
 static void
-test_registered_targets_stand_in_their_service (void **state)
+test_registered_targets_belong_to_their_service (void **state)
 {
   Snapshot *base = snapshot_of (intent_text);
   Evacuations *none = evacuations_create ();
@@ -131,7 +131,7 @@
 }
 
 static void
-test_only_any_method_covers_unknown_ones (void **state)
+test_only_a_wildcard_covers_unknown_methods (void **state)
 {
   Snapshot *snapshot = snapshot_of (intent_text);
 
@@ -141,7 +141,7 @@
 }
 
 static void
-test_a_dynamic_service_names_no_targets (void **state)
+test_a_dynamic_service_with_targets_is_rejected (void **state)
 {
   static const char text[] =
       "{\"services\":[{\"name\":\"s\",\"tenant\":\"t\",\"dynamic\":true,\"targets\":["
@@ -160,12 +160,12 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_registered_targets_stand_in_their_service),
+    cmocka_unit_test (test_registered_targets_belong_to_their_service),
     cmocka_unit_test (test_a_restart_replaces_and_a_departure_removes),
     cmocka_unit_test (test_shares_follow_the_weights),
     cmocka_unit_test (test_shares_follow_the_weights_over_a_fleet),
-    cmocka_unit_test (test_only_any_method_covers_unknown_ones),
-    cmocka_unit_test (test_a_dynamic_service_names_no_targets),
+    cmocka_unit_test (test_only_a_wildcard_covers_unknown_methods),
+    cmocka_unit_test (test_a_dynamic_service_with_targets_is_rejected),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-dispatch.c
+++ b/core/tests/test-dispatch.c
@@ -10,7 +10,7 @@
 #define DEADLINE_US SECOND_US
 #define WINDOW_US (10 * SECOND_US)
 #define SLACK_US (100 * MS_US)
-#define TRIES_TOO_MANY 100u
+#define TRIES_LIMIT 100u
 
 typedef struct
 {
@@ -45,7 +45,7 @@
 }
 
 static void
-test_an_attempt_is_waited_for_to_the_deadline (void **state)
+test_an_attempt_may_take_until_the_deadline (void **state)
 {
   Fixture fixture = setup (TRUE, 2);
   DispatchStep step =
@@ -66,7 +66,7 @@
   DispatchStep step;
   guint tries = 1;
 
-  while (tries < TRIES_TOO_MANY)
+  while (tries < TRIES_LIMIT)
     {
       step = dispatch_sent (fixture.dispatch, DISPATCH_REFUSED, REASON_OVERLOAD, 7000);
       if (step.kind != DISPATCH_CHOOSE)
@@ -122,7 +122,7 @@
 }
 
 static void
-test_a_failing_answer_is_tried_again_and_else_delivered (void **state)
+test_a_failing_answer_is_retried_or_delivered (void **state)
 {
   Fixture fixture = setup (TRUE, 2);
   DispatchStep step = dispatch_sent (fixture.dispatch, DISPATCH_FAULT, REASON_NONE, 0);
@@ -147,7 +147,7 @@
 }
 
 static void
-test_what_may_have_run_is_never_called_not_run (void **state)
+test_an_attempt_that_may_have_run_is_unknown (void **state)
 {
   Fixture fixture = setup (TRUE, 2);
   DispatchStep step = dispatch_sent (fixture.dispatch, DISPATCH_FAILED, REASON_BROKEN, 0);
@@ -176,7 +176,7 @@
 }
 
 static void
-test_only_what_may_reach_another_target_is_hedged (void **state)
+test_only_requests_with_arrivals_left_are_hedged (void **state)
 {
   Fixture two = setup (TRUE, 2);
   Fixture one = setup (TRUE, 1);
@@ -231,7 +231,7 @@
 
 /* A target that reports a failure has seen the request, whether or not it is retried. */
 static void
-test_a_failure_told_by_the_target_is_an_arrival (void **state)
+test_a_failure_reported_by_the_target_is_an_arrival (void **state)
 {
   Fixture safe = setup (TRUE, 1);
   Fixture unsafe = setup (FALSE, 1);
@@ -249,7 +249,7 @@
 /* The users count retries against the callers' requests. Calls that targets make do not
    count as such, and calls for a retried request count as retries. */
 static void
-test_calls_allow_for_no_retries (void **state)
+test_calls_add_nothing_to_the_retry_budget (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
   RetryBudget *budget = retry_budget_create (100, WINDOW_US, clock);
@@ -305,7 +305,7 @@
 /* Failures come in bursts, which may use the budget that quiet seconds of the window have
    left unused. */
 static void
-test_a_bunch_of_failures_may_use_the_whole_window (void **state)
+test_a_burst_of_failures_may_use_the_whole_window (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
   RetryBudget *budget = retry_budget_create (20, WINDOW_US, clock);
@@ -333,20 +333,20 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_an_attempt_is_waited_for_to_the_deadline),
+    cmocka_unit_test (test_an_attempt_may_take_until_the_deadline),
     cmocka_unit_test (test_refusals_before_a_target_are_free_and_bounded),
     cmocka_unit_test (test_a_targets_own_refusal_counts_as_an_arrival),
     cmocka_unit_test (test_a_second_arrival_needs_the_budget),
-    cmocka_unit_test (test_a_failing_answer_is_tried_again_and_else_delivered),
+    cmocka_unit_test (test_a_failing_answer_is_retried_or_delivered),
     cmocka_unit_test (test_a_failing_answer_of_unrepeatable_work_is_final),
-    cmocka_unit_test (test_what_may_have_run_is_never_called_not_run),
+    cmocka_unit_test (test_an_attempt_that_may_have_run_is_unknown),
     cmocka_unit_test (test_the_fence_is_asked_no_longer_than_the_slack),
-    cmocka_unit_test (test_only_what_may_reach_another_target_is_hedged),
+    cmocka_unit_test (test_only_requests_with_arrivals_left_are_hedged),
     cmocka_unit_test (test_the_last_of_two_attempts_decides),
-    cmocka_unit_test (test_a_failure_told_by_the_target_is_an_arrival),
-    cmocka_unit_test (test_calls_allow_for_no_retries),
+    cmocka_unit_test (test_a_failure_reported_by_the_target_is_an_arrival),
+    cmocka_unit_test (test_calls_add_nothing_to_the_retry_budget),
     cmocka_unit_test (test_a_burst_is_bounded_in_each_window),
-    cmocka_unit_test (test_a_bunch_of_failures_may_use_the_whole_window),
+    cmocka_unit_test (test_a_burst_of_failures_may_use_the_whole_window),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-evacuations.c
+++ b/core/tests/test-evacuations.c
@@ -20,7 +20,7 @@
 }
 
 static void
-test_the_newer_reading_holds (void **state)
+test_the_newer_reading_is_in_force (void **state)
 {
   Evacuations *evacuations = evacuations_create ();
 
@@ -40,7 +40,7 @@
 /* A reading that changes nothing still supersedes older ones: here an evacuation from
    before it arrives late, and has been taken back since. */
 static void
-test_a_reading_without_news_is_newer_all_the_same (void **state)
+test_an_unchanged_reading_supersedes_older_ones (void **state)
 {
   Evacuations *evacuations = evacuations_create ();
 
@@ -53,7 +53,7 @@
 /* A store restored from an older copy issues its revisions again, so readings are ordered
    by era first. */
 static void
-test_an_era_goes_before_any_revision (void **state)
+test_readings_are_ordered_by_era_first (void **state)
 {
   Evacuations *evacuations = evacuations_create ();
 
@@ -79,7 +79,7 @@
 }
 
 static void
-test_more_than_fit_are_cut_alike (void **state)
+test_excess_halls_are_dropped_by_name (void **state)
 {
   Evacuations *evacuations = evacuations_create ();
   g_autoptr (GPtrArray) halls = g_ptr_array_new_with_free_func (g_free);
@@ -97,11 +97,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_the_newer_reading_holds),
-    cmocka_unit_test (test_a_reading_without_news_is_newer_all_the_same),
-    cmocka_unit_test (test_an_era_goes_before_any_revision),
+    cmocka_unit_test (test_the_newer_reading_is_in_force),
+    cmocka_unit_test (test_an_unchanged_reading_supersedes_older_ones),
+    cmocka_unit_test (test_readings_are_ordered_by_era_first),
     cmocka_unit_test (test_order_and_repeats_are_no_change),
-    cmocka_unit_test (test_more_than_fit_are_cut_alike),
+    cmocka_unit_test (test_excess_halls_are_dropped_by_name),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-fence.c
+++ b/core/tests/test-fence.c
@@ -93,13 +93,13 @@
 }
 
 static DispatchReport
-report_of_entry (const FenceEntry *entry)
+report_from_entry (const FenceEntry *entry)
 {
   return fence_entry_state (entry) == FENCE_FINISHED ? DISPATCH_DONE : DISPATCH_STARTED;
 }
 
 static void
-take_submit (World *world, const Packet *packet)
+handle_submit (World *world, const Packet *packet)
 {
   Fence *fence = world->sidecars[packet->sidecar].fence;
   AttemptId id = id_of (packet->counter);
@@ -128,7 +128,7 @@
 }
 
 static void
-take_fence (World *world, const Packet *packet)
+handle_fence (World *world, const Packet *packet)
 {
   Fence *fence = world->sidecars[packet->sidecar].fence;
   AttemptId id = id_of (packet->counter);
@@ -141,7 +141,7 @@
       break;
     case FENCE_RUNNING:
     case FENCE_RAN:
-      post_answer (world, packet, KIND_ASKED, report_of_entry (entry));
+      post_answer (world, packet, KIND_ASKED, report_from_entry (entry));
       break;
     default:
       post_answer (world, packet, KIND_ASKED, DISPATCH_UNSURE);
@@ -252,10 +252,10 @@
   switch (packet.kind)
     {
     case KIND_SUBMIT:
-      take_submit (world, &packet);
+      handle_submit (world, &packet);
       break;
     case KIND_FENCE:
-      take_fence (world, &packet);
+      handle_fence (world, &packet);
       break;
     default:
       hear (world, &packet);
@@ -362,7 +362,7 @@
 }
 
 static void
-test_table_is_bounded_and_full_is_proof (void **state)
+test_a_refusal_by_a_full_table_is_final (void **state)
 {
   Clock *clock = clock_create_manual (100 * SECOND_US);
   Fence *fence = fence_create (&limits, 5, clock);
@@ -427,7 +427,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_schedules_run_at_most_once),
-    cmocka_unit_test (test_table_is_bounded_and_full_is_proof),
+    cmocka_unit_test (test_a_refusal_by_a_full_table_is_final),
     cmocka_unit_test (test_answers_are_kept_within_their_bound),
   };
 
--- a/core/tests/test-fingerprint.c
+++ b/core/tests/test-fingerprint.c
@@ -23,7 +23,7 @@
 }
 
 static void
-assert_other (const FingerprintInput *words)
+assert_different (const FingerprintInput *words)
 {
   Fingerprint a = of ("secret", &plain);
   Fingerprint b = of ("secret", words);
@@ -32,7 +32,7 @@
 }
 
 static void
-test_the_same_again_is_the_same (void **state)
+test_equal_requests_have_equal_fingerprints (void **state)
 {
   Fingerprint a = of ("secret", &plain);
   Fingerprint b = of ("secret", &plain);
@@ -41,36 +41,36 @@
 }
 
 static void
-test_each_word_tells_requests_apart (void **state)
+test_each_field_changes_the_fingerprint (void **state)
 {
   FingerprintInput words = plain;
 
   words.service = "read";
-  assert_other (&words);
+  assert_different (&words);
   words = plain;
   words.account = "other";
-  assert_other (&words);
+  assert_different (&words);
   words.account = NULL;
-  assert_other (&words);
+  assert_different (&words);
   words = plain;
   words.method = "PUT";
-  assert_other (&words);
+  assert_different (&words);
   words = plain;
   words.host = "other.example";
-  assert_other (&words);
+  assert_different (&words);
   words = plain;
   words.path = "/pay/1?x=3";
-  assert_other (&words);
+  assert_different (&words);
   words = plain;
   words.body = "Body";
-  assert_other (&words);
+  assert_different (&words);
   words.body_len = 0;
-  assert_other (&words);
+  assert_different (&words);
 }
 
 /* The fields "a" and "bc" give another fingerprint than "ab" and "c". */
 static void
-test_words_do_not_run_into_each_other (void **state)
+test_fields_are_delimited (void **state)
 {
   FingerprintInput one = { .service = "a", .account = "bc" };
   FingerprintInput two = { .service = "ab", .account = "c" };
@@ -110,7 +110,7 @@
 /* A request with a query has a second fingerprint, of the path alone. It is the same for
    every query, and the only one of a request without a query. */
 static void
-test_the_path_alone_is_a_name_too (void **state)
+test_the_path_alone_has_a_fingerprint (void **state)
 {
   FingerprintKey *key = fingerprint_key_create ("secret");
   FingerprintInput words = plain;
@@ -133,12 +133,12 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_the_same_again_is_the_same),
-    cmocka_unit_test (test_each_word_tells_requests_apart),
-    cmocka_unit_test (test_words_do_not_run_into_each_other),
+    cmocka_unit_test (test_equal_requests_have_equal_fingerprints),
+    cmocka_unit_test (test_each_field_changes_the_fingerprint),
+    cmocka_unit_test (test_fields_are_delimited),
     cmocka_unit_test (test_another_secret_gives_another_fingerprint),
     cmocka_unit_test (test_the_head_leaves_the_body_out),
-    cmocka_unit_test (test_the_path_alone_is_a_name_too),
+    cmocka_unit_test (test_the_path_alone_has_a_fingerprint),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-latency.c
+++ b/core/tests/test-latency.c
@@ -48,7 +48,7 @@
 }
 
 static void
-test_nothing_is_said_of_what_is_not_known (void **state)
+test_an_unknown_fit_makes_no_statement (void **state)
 {
   LatencyBook *book = filled (MEDIAN_US, 0.5, 4);
   LatencyFit few = latency_book_fit (book, ROUTE);
@@ -63,7 +63,7 @@
 
 /* The same rule works for routes of 5 ms and of 2 s. */
 static void
-test_silence_is_judged_by_the_routes_own_measure (void **state)
+test_lateness_is_relative_to_the_route (void **state)
 {
   const double medians_us[] = { 5.0 * MS_US, 100.0 * MS_US, 2000.0 * MS_US };
 
@@ -86,7 +86,7 @@
 }
 
 static void
-test_one_request_is_overdue_by_its_routes_measure (void **state)
+test_overdue_is_relative_to_the_route (void **state)
 {
   LatencyFit quick = { log (5.0 * MS_US), 0.4, 60 };
   LatencyFit longer = { log (600.0 * MS_US), 0.6, 60 };
@@ -116,7 +116,7 @@
 
 /* One slow target of three does not change the fit that the others are compared with. */
 static void
-test_a_slow_target_is_no_measure_for_the_others (void **state)
+test_a_slow_target_does_not_change_the_median (void **state)
 {
   LatencyViews *views = latency_views_create ();
   LatencyFit good = { log (MEDIAN_US), 0.5, 10 };
@@ -139,11 +139,11 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_a_fit_follows_its_samples),
-    cmocka_unit_test (test_nothing_is_said_of_what_is_not_known),
-    cmocka_unit_test (test_silence_is_judged_by_the_routes_own_measure),
-    cmocka_unit_test (test_one_request_is_overdue_by_its_routes_measure),
+    cmocka_unit_test (test_an_unknown_fit_makes_no_statement),
+    cmocka_unit_test (test_lateness_is_relative_to_the_route),
+    cmocka_unit_test (test_overdue_is_relative_to_the_route),
     cmocka_unit_test (test_a_fit_survives_its_packing),
-    cmocka_unit_test (test_a_slow_target_is_no_measure_for_the_others),
+    cmocka_unit_test (test_a_slow_target_does_not_change_the_median),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-members.c
+++ b/core/tests/test-members.c
@@ -63,7 +63,7 @@
 }
 
 static void
-test_an_answer_of_its_own_keeps_a_member (void **state)
+test_an_own_answer_keeps_a_member_alive (void **state)
 {
   Fixture fixture = setup ();
 
@@ -76,7 +76,7 @@
 
 /* The member's VM was replaced, and the VM that took over its address answers probes. */
 static void
-test_an_answer_in_another_name_ends_a_member (void **state)
+test_an_answer_under_another_name_means_death (void **state)
 {
   Fixture fixture = setup ();
 
@@ -87,7 +87,7 @@
 
 /* Helpers answer under their own names. */
 static void
-test_an_answer_through_a_helper_keeps_a_member (void **state)
+test_an_answer_through_a_helper_keeps_a_member_alive (void **state)
 {
   Fixture fixture = setup ();
   guint sequence = probe (&fixture);
@@ -104,7 +104,7 @@
 }
 
 static void
-test_a_node_never_gives_itself_up (void **state)
+test_a_node_never_declares_itself_dead (void **state)
 {
   Fixture fixture = setup ();
 
@@ -118,10 +118,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_an_answer_of_its_own_keeps_a_member),
-    cmocka_unit_test (test_an_answer_in_another_name_ends_a_member),
-    cmocka_unit_test (test_an_answer_through_a_helper_keeps_a_member),
-    cmocka_unit_test (test_a_node_never_gives_itself_up),
+    cmocka_unit_test (test_an_own_answer_keeps_a_member_alive),
+    cmocka_unit_test (test_an_answer_under_another_name_means_death),
+    cmocka_unit_test (test_an_answer_through_a_helper_keeps_a_member_alive),
+    cmocka_unit_test (test_a_node_never_declares_itself_dead),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-pack.c
+++ b/core/tests/test-pack.c
@@ -33,7 +33,7 @@
  * same few nodes. The texts are repetitive and must shrink to a fifth or less.
  */
 static void
-test_a_shard_travels_in_a_fifth_of_its_bytes (void **state)
+test_a_shard_packs_to_a_fifth (void **state)
 {
   g_autoptr (GBytes) text = shard_text ();
   JsonFaults *faults = json_faults_create ();
@@ -51,7 +51,7 @@
 }
 
 static void
-test_what_does_not_unpack_is_a_fault (void **state)
+test_invalid_packed_data_is_a_fault (void **state)
 {
   g_autoptr (GBytes) text = shard_text ();
   g_autoptr (GBytes) packed = pack_compress (text);
@@ -99,7 +99,7 @@
 /* The others must accept each part that a node has in force and passes on, because a node
    does not fall back to the platform after a bad part from a peer. */
 static void
-test_what_one_node_holds_the_others_take (void **state)
+test_the_largest_part_is_accepted_by_peers (void **state)
 {
   g_autoptr (GBytes) text = service_text ();
   JsonFaults *faults = json_faults_create ();
@@ -121,10 +121,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_a_shard_travels_in_a_fifth_of_its_bytes),
-    cmocka_unit_test (test_what_does_not_unpack_is_a_fault),
+    cmocka_unit_test (test_a_shard_packs_to_a_fifth),
+    cmocka_unit_test (test_invalid_packed_data_is_a_fault),
     cmocka_unit_test (test_unpacking_is_bounded),
-    cmocka_unit_test (test_what_one_node_holds_the_others_take),
+    cmocka_unit_test (test_the_largest_part_is_accepted_by_peers),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-placement.c
+++ b/core/tests/test-placement.c
@@ -35,7 +35,7 @@
 /* When everything is full, a few targets are asked at each step, so that the refusal
    comes soon. */
 static void
-test_in_an_overload_each_place_is_asked_and_no_more (void **state)
+test_an_overload_is_refused_after_few_questions (void **state)
 {
   static const Reason full[] = { REASON_OVERLOAD };
   Placement placement = { 0 };
@@ -54,7 +54,7 @@
    Their refusals are compensated by as many further questions, and other halls and queues
    are asked as before. */
 static void
-test_wrong_beliefs_do_not_use_up_the_tries (void **state)
+test_an_outdated_view_does_not_use_up_the_tries (void **state)
 {
   static const Reason mixed[] = { REASON_SICK, REASON_OVERLOAD, REASON_UNREACHABLE,
                                   REASON_OVERLOAD };
@@ -70,7 +70,7 @@
 /* When the whole view is outdated, the request stops looking after eight refusals and
    waits in a queue. */
 static void
-test_with_nothing_but_wrong_beliefs_it_waits_where_it_can (void **state)
+test_an_entirely_outdated_view_leads_to_a_queue (void **state)
 {
   Placement placement = { 0 };
 
@@ -83,7 +83,7 @@
 }
 
 static void
-test_what_is_late_does_not_wait_for_its_own_hall (void **state)
+test_a_late_request_skips_its_halls_queue (void **state)
 {
   Placement placement = { .step = PLACEMENT_OWN_QUEUE };
 
@@ -91,7 +91,7 @@
 }
 
 static void
-test_a_place_that_has_no_target_is_passed (void **state)
+test_a_step_without_targets_is_skipped (void **state)
 {
   Placement placement = { 0 };
 
@@ -106,7 +106,7 @@
 /* After a target has failed, the request looks for a free slot again, with the tries that
    are left. */
 static void
-test_a_retry_looks_anew (void **state)
+test_a_retry_starts_over (void **state)
 {
   Placement placement = { 0 };
 
@@ -132,12 +132,12 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_in_an_overload_each_place_is_asked_and_no_more),
-    cmocka_unit_test (test_wrong_beliefs_do_not_use_up_the_tries),
-    cmocka_unit_test (test_with_nothing_but_wrong_beliefs_it_waits_where_it_can),
-    cmocka_unit_test (test_what_is_late_does_not_wait_for_its_own_hall),
-    cmocka_unit_test (test_a_place_that_has_no_target_is_passed),
-    cmocka_unit_test (test_a_retry_looks_anew),
+    cmocka_unit_test (test_an_overload_is_refused_after_few_questions),
+    cmocka_unit_test (test_an_outdated_view_does_not_use_up_the_tries),
+    cmocka_unit_test (test_an_entirely_outdated_view_leads_to_a_queue),
+    cmocka_unit_test (test_a_late_request_skips_its_halls_queue),
+    cmocka_unit_test (test_a_step_without_targets_is_skipped),
+    cmocka_unit_test (test_a_retry_starts_over),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-proof.c
+++ b/core/tests/test-proof.c
@@ -9,7 +9,7 @@
 #include <core/proof.h>
 
 static void
-test_a_request_that_is_kept_is_a_proof_for_a_moment (void **state)
+test_a_kept_request_is_a_proof_for_a_moment (void **state)
 {
   Proof proof = { 0 };
 
@@ -22,7 +22,7 @@
 }
 
 static void
-test_a_request_that_has_just_been_sent_hides_no_older_proof (void **state)
+test_a_new_request_keeps_an_older_proof (void **state)
 {
   Proof proof = { 0 };
 
@@ -32,7 +32,7 @@
 }
 
 static void
-test_a_failure_ends_it (void **state)
+test_a_failure_voids_the_proof (void **state)
 {
   Proof proof = { 0 };
 
@@ -52,7 +52,7 @@
 #define EVERY_US (4 * MS_US)
 #define REQUESTS 75000u
 #define UNREPEATABLE_PERCENT 60
-#define PASSED_OVER 5u
+#define UNPROVED_PICKS_MAX 5u
 
 typedef struct
 {
@@ -60,10 +60,10 @@
   gint64 epoch_ends_us;
   gboolean in_spell;
   gboolean left_out;
-} Spelled;
+} SimulatedTarget;
 
 static void
-move_on (Spelled *target, GRand *rand, gint64 now_us)
+update_spell (SimulatedTarget *target, GRand *rand, gint64 now_us)
 {
   if (now_us < target->epoch_ends_us)
     return;
@@ -72,10 +72,10 @@
   target->left_out = FALSE;
 }
 
-static Spelled *
-pick (Spelled *targets, GRand *rand, gboolean proved_only, gint64 now_us)
+static SimulatedTarget *
+pick (SimulatedTarget *targets, GRand *rand, gboolean proved_only, gint64 now_us)
 {
-  Spelled *target = NULL;
+  SimulatedTarget *target = NULL;
   guint passed = 0;
 
   for (;;)
@@ -83,7 +83,7 @@
       target = &targets[g_rand_int_range (rand, 0, TARGETS)];
       if (target->left_out)
         continue;
-      if (!proved_only || passed >= PASSED_OVER ||
+      if (!proved_only || passed >= UNPROVED_PICKS_MAX ||
           proof_is_fresh (&target->proof, now_us))
         return target;
       passed++;
@@ -94,7 +94,7 @@
 static guint
 lost (gboolean with_proof)
 {
-  Spelled targets[TARGETS] = { 0 };
+  SimulatedTarget targets[TARGETS] = { 0 };
   GRand *rand = g_rand_new_with_seed (7);
   gint64 now = SECOND_US;
   guint count = 0;
@@ -104,11 +104,11 @@
   for (guint i = 0; i < REQUESTS; i++)
     {
       gboolean repeatable = g_rand_int_range (rand, 0, 100) >= UNREPEATABLE_PERCENT;
-      Spelled *target;
+      SimulatedTarget *target;
 
       now += EVERY_US;
       for (guint j = 0; j < TARGETS; j++)
-        move_on (&targets[j], rand, now);
+        update_spell (&targets[j], rand, now);
       target = pick (targets, rand, with_proof && !repeatable, now);
       proof_note_start (&target->proof, now);
       if (!target->in_spell)
@@ -136,9 +136,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_a_request_that_is_kept_is_a_proof_for_a_moment),
-    cmocka_unit_test (test_a_request_that_has_just_been_sent_hides_no_older_proof),
-    cmocka_unit_test (test_a_failure_ends_it),
+    cmocka_unit_test (test_a_kept_request_is_a_proof_for_a_moment),
+    cmocka_unit_test (test_a_new_request_keeps_an_older_proof),
+    cmocka_unit_test (test_a_failure_voids_the_proof),
     cmocka_unit_test (test_spells_cost_half_as_many_unrepeatable_requests),
   };
 
--- a/core/tests/test-quarantine.c
+++ b/core/tests/test-quarantine.c
@@ -20,7 +20,7 @@
    request. On machines that had just been started the fault did not show. */
 #define UPTIME_US (30 * 24 * 3600 * SECOND_US)
 /* Between crashes that one request causes: it runs for some 65 ms before each. */
-#define APART_US (100 * MS_US)
+#define CRASH_GAP_US (100 * MS_US)
 /* Until a quarantine is in force: QUARANTINE_SETTLE_US, with a margin. */
 #define SETTLED_US (400 * MS_US)
 
@@ -69,7 +69,7 @@
 
 /* The target beside a node crashes while it runs `count` requests. */
 static void
-end_under (Fixture *fixture, guint node, const Fingerprint *requests, guint count)
+crash_under (Fixture *fixture, guint node, const Fingerprint *requests, guint count)
 {
   g_autoptr (GArray) work = g_array_new (FALSE, FALSE, sizeof (Fingerprint));
 
@@ -89,7 +89,7 @@
 
 /* Exchanges news until every node has all of it. */
 static void
-tell_all (Fixture *fixture)
+exchange_all_news (Fixture *fixture)
 {
   for (guint round = 0; round < 2; round++)
     for (guint i = 0; i < NODES; i++)
@@ -106,12 +106,12 @@
 
 /* Three targets in turn crash under the request, each beside another node. */
 static void
-end_three (Fixture *fixture, const Fingerprint *request)
+crash_three_targets (Fixture *fixture, const Fingerprint *request)
 {
   for (guint i = 0; i < QUARANTINE_ENDS_LIMIT; i++)
     {
-      end_under (fixture, i, request, 1);
-      pass (fixture, APART_US);
+      crash_under (fixture, i, request, 1);
+      pass (fixture, CRASH_GAP_US);
     }
 }
 
@@ -119,23 +119,23 @@
 static void
 hold (Fixture *fixture, const Fingerprint *request)
 {
-  end_three (fixture, request);
-  tell_all (fixture);
+  crash_three_targets (fixture, request);
+  exchange_all_news (fixture);
   pass (fixture, SETTLED_US);
-  tell_all (fixture);
+  exchange_all_news (fixture);
   assert_true (quarantine_begin_trial (fixture->nodes[0], request));
-  end_under (fixture, 0, request, 1);
-  tell_all (fixture);
+  crash_under (fixture, 0, request, 1);
+  exchange_all_news (fixture);
 }
 
 /* Three nodes have seen one crash each, and a fourth none. */
 static void
-test_a_node_that_saw_no_end_holds_it_back (void **state)
+test_a_node_that_saw_no_crash_quarantines_too (void **state)
 {
   Fixture *fixture = *state;
 
-  end_three (fixture, &deadly);
-  tell_all (fixture);
+  crash_three_targets (fixture, &deadly);
+  exchange_all_news (fixture);
   pass (fixture, SETTLED_US);
   for (guint i = 0; i < NODES; i++)
     assert_true (state_at (fixture, i, &deadly) >= QUARANTINE_TRIAL);
@@ -143,29 +143,29 @@
 }
 
 static void
-test_two_ends_are_not_enough (void **state)
+test_two_crashes_are_not_enough (void **state)
 {
   Fixture *fixture = *state;
 
-  end_under (fixture, 0, &deadly, 1);
-  pass (fixture, APART_US);
+  crash_under (fixture, 0, &deadly, 1);
+  pass (fixture, CRASH_GAP_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_SUSPECT);
-  end_under (fixture, 0, &deadly, 1);
+  crash_under (fixture, 0, &deadly, 1);
   pass (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_DOUBTED);
 }
 
 /* A crash counts once at a node that hears of it repeatedly, from several others. */
 static void
-test_news_that_is_told_again_counts_once (void **state)
+test_repeated_news_counts_once (void **state)
 {
   Fixture *fixture = *state;
 
-  end_under (fixture, 0, &deadly, 1);
-  pass (fixture, APART_US);
-  end_under (fixture, 1, &deadly, 1);
+  crash_under (fixture, 0, &deadly, 1);
+  pass (fixture, CRASH_GAP_US);
+  crash_under (fixture, 1, &deadly, 1);
   for (guint i = 0; i < 5; i++)
-    tell_all (fixture);
+    exchange_all_news (fixture);
   pass (fixture, SETTLED_US);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &deadly), QUARANTINE_DOUBTED);
@@ -176,16 +176,16 @@
 /* A hall fails: all its targets crash at one moment, each under the same path with an
    empty body, and no target anywhere has answered that request. */
 static void
-test_a_hall_that_ends_at_once_blames_nobody (void **state)
+test_simultaneous_crashes_count_once (void **state)
 {
   Fixture *fixture = *state;
 
   for (guint i = 0; i < 12; i++)
     {
-      end_under (fixture, i % NODES, &sound, 1);
+      crash_under (fixture, i % NODES, &sound, 1);
       clock_advance (fixture->clock, 2 * MS_US);
     }
-  tell_all (fixture);
+  exchange_all_news (fixture);
   pass (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &sound), QUARANTINE_SUSPECT);
 }
@@ -193,19 +193,19 @@
 /* Targets crash in turn, each while it runs the same request, which the targets that are
    up answer. */
 static void
-test_what_is_answered_anywhere_was_not_deadly (void **state)
+test_an_answer_anywhere_clears_a_request (void **state)
 {
   Fixture *fixture = *state;
 
   for (guint i = 0; i < 20; i++)
     {
-      end_under (fixture, i % NODES, &sound, 1);
-      tell_all (fixture);
-      pass (fixture, APART_US / 2);
+      crash_under (fixture, i % NODES, &sound, 1);
+      exchange_all_news (fixture);
+      pass (fixture, CRASH_GAP_US / 2);
       assert_true (state_at (fixture, 0, &sound) < QUARANTINE_TRIAL);
       assert_true (quarantine_note_answer (fixture->nodes[(i + 1) % NODES], &sound));
-      tell_all (fixture);
-      pass (fixture, APART_US / 2);
+      exchange_all_news (fixture);
+      pass (fixture, CRASH_GAP_US / 2);
       for (guint j = 0; j < NODES; j++)
         assert_int_equal (state_at (fixture, j, &sound), QUARANTINE_FREE);
     }
@@ -213,17 +213,17 @@
 
 /* An answer within QUARANTINE_SETTLE_US of the third crash prevents the quarantine. */
 static void
-test_an_answer_before_it_settles_is_in_time (void **state)
+test_an_answer_while_settling_clears_a_request (void **state)
 {
   Fixture *fixture = *state;
 
-  end_three (fixture, &sound);
-  tell_all (fixture);
-  pass (fixture, QUARANTINE_SETTLE_US - APART_US - MS_US);
+  crash_three_targets (fixture, &sound);
+  exchange_all_news (fixture);
+  pass (fixture, QUARANTINE_SETTLE_US - CRASH_GAP_US - MS_US);
   for (guint i = 0; i < NODES; i++)
     assert_true (state_at (fixture, i, &sound) < QUARANTINE_TRIAL);
   assert_true (quarantine_note_answer (fixture->nodes[3], &sound));
-  tell_all (fixture);
+  exchange_all_news (fixture);
   pass (fixture, SETTLED_US);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &sound), QUARANTINE_FREE);
@@ -232,7 +232,7 @@
 /* Four to eight other requests are at work at each crash that `deadly` causes. They are
    new ones each time, except for one that is at work at two of the crashes. */
 static void
-test_those_beside_it_are_not_held_back (void **state)
+test_concurrent_requests_are_not_quarantined (void **state)
 {
   Fixture *fixture = *state;
   Fingerprint work[11] = { deadly, other };
@@ -243,9 +243,9 @@
 
       for (guint j = i < 2 ? 2 : 1; j < count; j++)
         work[j] = (Fingerprint){ ((guint64)i << 56) | ((guint64)j << 40) | 1, 0 };
-      end_under (fixture, i % NODES, work, count);
-      tell_all (fixture);
-      pass (fixture, APART_US);
+      crash_under (fixture, i % NODES, work, count);
+      exchange_all_news (fixture);
+      pass (fixture, CRASH_GAP_US);
     }
   pass (fixture, SETTLED_US);
   for (guint i = 0; i < NODES; i++)
@@ -264,18 +264,18 @@
 /* `other` is at work at three of the four crashes that `deadly` causes; the fourth tells
    them apart. */
 static void
-test_an_end_is_laid_to_whom_most_are_laid_to (void **state)
+test_a_crash_counts_against_the_most_frequent_request (void **state)
 {
   Fixture *fixture = *state;
   const Fingerprint both[] = { deadly, other };
 
-  end_under (fixture, 0, &deadly, 1);
-  tell_all (fixture);
+  crash_under (fixture, 0, &deadly, 1);
+  exchange_all_news (fixture);
   for (guint i = 0; i < 3; i++)
     {
-      pass (fixture, APART_US);
-      end_under (fixture, i, both, 2);
-      tell_all (fixture);
+      pass (fixture, CRASH_GAP_US);
+      crash_under (fixture, i, both, 2);
+      exchange_all_news (fixture);
     }
   pass (fixture, SETTLED_US);
   assert_true (state_at (fixture, 3, &deadly) >= QUARANTINE_TRIAL);
@@ -285,23 +285,23 @@
 /* Two requests that were at work at the same three crashes cannot be told apart. The next
    request of each is its trial, so that the harmless one is not refused. */
 static void
-test_who_cannot_be_told_apart_is_tried_at_once (void **state)
+test_indistinguishable_requests_are_tried_at_once (void **state)
 {
   Fixture *fixture = *state;
   const Fingerprint both[] = { deadly, other };
 
   for (guint i = 0; i < QUARANTINE_ENDS_LIMIT; i++)
     {
-      end_under (fixture, i, both, 2);
-      pass (fixture, APART_US);
+      crash_under (fixture, i, both, 2);
+      pass (fixture, CRASH_GAP_US);
     }
-  tell_all (fixture);
+  exchange_all_news (fixture);
   pass (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &other), QUARANTINE_TRIAL);
   assert_true (quarantine_begin_trial (fixture->nodes[0], &other));
   assert_true (quarantine_begin_trial (fixture->nodes[0], &deadly));
   assert_true (quarantine_note_answer (fixture->nodes[0], &other));
-  tell_all (fixture);
+  exchange_all_news (fixture);
   for (guint i = 0; i < NODES; i++)
     {
       assert_int_equal (state_at (fixture, i, &other), QUARANTINE_FREE);
@@ -311,7 +311,7 @@
 
 /* A crash under a quarantined request counts against that request alone. */
 static void
-test_a_trial_blames_nobody_beside_it (void **state)
+test_a_trial_crash_counts_against_the_trial_only (void **state)
 {
   Fixture *fixture = *state;
   const Fingerprint both[] = { other, deadly };
@@ -319,9 +319,9 @@
   hold (fixture, &deadly);
   for (guint i = 0; i < QUARANTINE_ENDS_LIMIT; i++)
     {
-      pass (fixture, APART_US);
-      end_under (fixture, i, both, 2);
-      tell_all (fixture);
+      pass (fixture, CRASH_GAP_US);
+      crash_under (fixture, i, both, 2);
+      exchange_all_news (fixture);
     }
   pass (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &other), QUARANTINE_FREE);
@@ -330,7 +330,7 @@
 /* Trials are made at once, after a minute and after ten, one at a time in the whole
    fleet. */
 static void
-test_trials_are_single_and_grow_rare (void **state)
+test_trials_are_single_and_back_off (void **state)
 {
   Fixture *fixture = *state;
   QuarantineVerdict verdict;
@@ -344,8 +344,8 @@
                    QUARANTINE_PAUSE_FIRST_US);
   pass (fixture, QUARANTINE_PAUSE_FIRST_US);
   assert_true (quarantine_begin_trial (fixture->nodes[1], &deadly));
-  end_under (fixture, 1, &deadly, 1);
-  tell_all (fixture);
+  crash_under (fixture, 1, &deadly, 1);
+  exchange_all_news (fixture);
   pass (fixture, QUARANTINE_PAUSE_SECOND_US - SECOND_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_HELD);
   pass (fixture, SECOND_US);
@@ -355,12 +355,12 @@
 /* A trial that a target in a bad spell has broken off is soon repeated, but only once,
    because each repetition reaches one more target. */
 static void
-test_an_undecided_trial_is_made_again_once (void **state)
+test_an_undecided_trial_is_repeated_once (void **state)
 {
   Fixture *fixture = *state;
 
-  end_three (fixture, &deadly);
-  tell_all (fixture);
+  crash_three_targets (fixture, &deadly);
+  exchange_all_news (fixture);
   pass (fixture, SETTLED_US);
   assert_true (quarantine_begin_trial (fixture->nodes[0], &deadly));
   quarantine_trial_undecided (fixture->nodes[0], &deadly);
@@ -373,7 +373,7 @@
 }
 
 static void
-test_a_good_trial_ends_it_everywhere (void **state)
+test_a_good_trial_ends_the_quarantine_everywhere (void **state)
 {
   Fixture *fixture = *state;
 
@@ -381,14 +381,14 @@
   pass (fixture, QUARANTINE_PAUSE_FIRST_US);
   assert_true (quarantine_begin_trial (fixture->nodes[2], &sound));
   assert_true (quarantine_note_answer (fixture->nodes[2], &sound));
-  tell_all (fixture);
+  exchange_all_news (fixture);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &sound), QUARANTINE_FREE);
 }
 
 /* News from before an answer is ignored when it arrives after it. */
 static void
-test_late_news_brings_nothing_back (void **state)
+test_news_from_before_an_answer_is_ignored (void **state)
 {
   Fixture *fixture = *state;
   QuarantineNews old[NEWS_MAX];
@@ -397,7 +397,7 @@
   hold (fixture, &sound);
   count = quarantine_next_part (fixture->nodes[0], old, NEWS_MAX);
   quarantine_note_answer (fixture->nodes[1], &sound);
-  tell_all (fixture);
+  exchange_all_news (fixture);
   for (guint i = 0; i < count; i++)
     assert_false (quarantine_merge (fixture->nodes[2], &old[i]));
   assert_int_equal (state_at (fixture, 2, &sound), QUARANTINE_FREE);
@@ -405,7 +405,7 @@
 
 /* A restarted or partitioned node lacks entries, which its digest shows. */
 static void
-test_a_node_that_starts_learns_what_the_fleet_knows (void **state)
+test_a_restarted_node_learns_all_entries (void **state)
 {
   Fixture *fixture = *state;
 
@@ -422,21 +422,21 @@
 
 /* Two partitions of the fleet count separately and agree once they are connected. */
 static void
-test_parts_out_of_touch_agree_when_they_meet (void **state)
+test_partitions_agree_after_they_heal (void **state)
 {
   Fixture *fixture = *state;
 
-  end_under (fixture, 0, &deadly, 1);
-  pass (fixture, APART_US);
-  end_under (fixture, 1, &deadly, 1);
+  crash_under (fixture, 0, &deadly, 1);
+  pass (fixture, CRASH_GAP_US);
+  crash_under (fixture, 1, &deadly, 1);
   tell (fixture, 0, 1);
-  pass (fixture, APART_US);
-  end_under (fixture, 2, &deadly, 1);
+  pass (fixture, CRASH_GAP_US);
+  crash_under (fixture, 2, &deadly, 1);
   tell (fixture, 2, 3);
   pass (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 1, &deadly), QUARANTINE_DOUBTED);
   assert_int_equal (state_at (fixture, 3, &deadly), QUARANTINE_SUSPECT);
-  tell_all (fixture);
+  exchange_all_news (fixture);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &deadly), QUARANTINE_TRIAL);
 }
@@ -446,7 +446,7 @@
 {
   Fixture *fixture = *state;
 
-  end_under (fixture, 0, &deadly, 1);
+  crash_under (fixture, 0, &deadly, 1);
   pass (fixture, QUARANTINE_MEMORY_US - SECOND_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_SUSPECT);
   pass (fixture, 2 * SECOND_US);
@@ -457,7 +457,7 @@
 /* An entry is dropped when nobody has sent the request for an hour after its next trial
    was due. */
 static void
-test_what_is_held_back_is_let_go_in_the_end (void **state)
+test_quarantined_entries_expire (void **state)
 {
   Fixture *fixture = *state;
 
@@ -468,7 +468,7 @@
 
 /* A caller that sends a new request each time displaces no quarantined entry. */
 static void
-test_the_list_is_bounded_and_keeps_what_matters (void **state)
+test_a_full_list_keeps_quarantined_entries (void **state)
 {
   Fixture *fixture = *state;
 
@@ -477,7 +477,7 @@
     {
       const Fingerprint fresh = { 0xf00dull << 40 | i, 0 };
 
-      end_under (fixture, 0, &fresh, 1);
+      crash_under (fixture, 0, &fresh, 1);
       clock_advance (fixture->clock, MS_US);
     }
   assert_int_equal (quarantine_entries (fixture->nodes[0])->len, QUARANTINE_ENTRIES_MAX);
@@ -488,7 +488,7 @@
    Otherwise nodes that know of more entries than they can keep would exchange them
    endlessly. */
 static void
-test_a_full_list_takes_up_nothing_that_matters_less (void **state)
+test_a_full_list_rejects_entries_with_fewer_crashes (void **state)
 {
   Fixture *fixture = *state;
   const Fingerprint fresh = { 0xf00dull << 40, 0 };
@@ -498,10 +498,10 @@
       {
         const Fingerprint known = { (i + 1ull) << 32, 0 };
 
-        end_under (fixture, 0, &known, 1);
-        clock_advance (fixture->clock, APART_US);
+        crash_under (fixture, 0, &known, 1);
+        clock_advance (fixture->clock, CRASH_GAP_US);
       }
-  end_under (fixture, 0, &fresh, 1);
+  crash_under (fixture, 0, &fresh, 1);
   assert_int_equal (state_at (fixture, 0, &fresh), QUARANTINE_FREE);
   for (guint i = 0; i < QUARANTINE_ENTRIES_MAX; i++)
     {
@@ -514,19 +514,19 @@
 /* When more requests are at work than a crash counts against, known ones are counted
    first. */
 static void
-test_a_crowded_target_still_counts_who_is_known (void **state)
+test_known_requests_are_counted_first (void **state)
 {
   Fixture *fixture = *state;
   Fingerprint work[40];
 
-  end_under (fixture, 0, &deadly, 1);
+  crash_under (fixture, 0, &deadly, 1);
   for (guint i = 0; i < 2; i++)
     {
-      pass (fixture, APART_US);
+      pass (fixture, CRASH_GAP_US);
       for (guint j = 0; j < G_N_ELEMENTS (work); j++)
         work[j] = (Fingerprint){ (guint64)(i + 1) << 48 | j << 8 | 1, 0 };
       work[G_N_ELEMENTS (work) - 1] = deadly;
-      end_under (fixture, 0, work, G_N_ELEMENTS (work));
+      crash_under (fixture, 0, work, G_N_ELEMENTS (work));
     }
   pass (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_TRIAL);
@@ -545,10 +545,10 @@
   quarantine_note_version (fixture->nodes[0], SERVICE + 1, VERSION + 1);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_HELD);
   quarantine_note_version (fixture->nodes[0], SERVICE, VERSION + 1);
-  tell_all (fixture);
+  exchange_all_news (fixture);
   assert_int_equal (state_at (fixture, 3, &deadly), QUARANTINE_TRIAL);
   assert_true (quarantine_begin_trial (fixture->nodes[3], &deadly));
-  tell_all (fixture);
+  exchange_all_news (fixture);
   quarantine_note_version (fixture->nodes[1], SERVICE, VERSION + 2);
   assert_int_equal (state_at (fixture, 1, &deadly), QUARANTINE_HELD);
 }
@@ -563,20 +563,20 @@
   assert_false (quarantine_lift (fixture->nodes[0], "00000000"));
   assert_true (quarantine_lift (fixture->nodes[0], digits));
   assert_false (quarantine_lift (fixture->nodes[0], digits));
-  tell_all (fixture);
+  exchange_all_news (fixture);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &deadly), QUARANTINE_FREE);
 }
 
 /* Each change is sent a few times only, and nothing is sent while nothing changes. */
 static void
-test_news_ends (void **state)
+test_news_is_sent_a_few_times (void **state)
 {
   Fixture *fixture = *state;
   QuarantineNews news[NEWS_MAX];
   guint told = 0;
 
-  end_three (fixture, &deadly);
+  crash_three_targets (fixture, &deadly);
   while (quarantine_urgency (fixture->nodes[0]) != QUARANTINE_NEWS_NONE && told < 1000)
     told += quarantine_next_news (fixture->nodes[0], news, 1);
   assert_in_range (told, 1, 20);
@@ -585,7 +585,7 @@
 
 /* News with values that no node sends is ignored. */
 static void
-test_implausible_news_is_passed_over (void **state)
+test_implausible_news_is_ignored (void **state)
 {
   Fixture *fixture = *state;
   QuarantineNews news = { .request = deadly, .service = SERVICE, .held_age_us = -1 };
@@ -605,19 +605,19 @@
 
 /* Of ten crashes, which each node hears of in another order, all keep the same six. */
 static void
-test_nodes_that_heard_in_another_order_agree (void **state)
+test_nodes_agree_for_any_order_of_news (void **state)
 {
   Fixture *fixture = *state;
 
   for (guint i = 0; i < 10; i++)
     {
-      end_under (fixture, (i * 7) % NODES, &sound, 1);
+      crash_under (fixture, (i * 7) % NODES, &sound, 1);
       if (i % 3 == 0)
         tell (fixture, i % NODES, (i + 1) % NODES);
       clock_advance (fixture->clock, MS_US);
     }
-  tell_all (fixture);
-  tell_all (fixture);
+  exchange_all_news (fixture);
+  exchange_all_news (fixture);
   for (guint i = 1; i < NODES; i++)
     assert_int_equal (quarantine_digest (fixture->nodes[0]),
                       quarantine_digest (fixture->nodes[i]));
@@ -628,32 +628,32 @@
 {
 #define TEST(name) cmocka_unit_test_setup_teardown (name, set_up, tear_down)
   const struct CMUnitTest tests[] = {
-    TEST (test_a_node_that_saw_no_end_holds_it_back),
-    TEST (test_two_ends_are_not_enough),
-    TEST (test_news_that_is_told_again_counts_once),
-    TEST (test_a_hall_that_ends_at_once_blames_nobody),
-    TEST (test_what_is_answered_anywhere_was_not_deadly),
-    TEST (test_an_answer_before_it_settles_is_in_time),
-    TEST (test_those_beside_it_are_not_held_back),
-    TEST (test_an_end_is_laid_to_whom_most_are_laid_to),
-    TEST (test_who_cannot_be_told_apart_is_tried_at_once),
-    TEST (test_a_trial_blames_nobody_beside_it),
-    TEST (test_trials_are_single_and_grow_rare),
-    TEST (test_an_undecided_trial_is_made_again_once),
-    TEST (test_a_good_trial_ends_it_everywhere),
-    TEST (test_late_news_brings_nothing_back),
-    TEST (test_a_node_that_starts_learns_what_the_fleet_knows),
-    TEST (test_parts_out_of_touch_agree_when_they_meet),
+    TEST (test_a_node_that_saw_no_crash_quarantines_too),
+    TEST (test_two_crashes_are_not_enough),
+    TEST (test_repeated_news_counts_once),
+    TEST (test_simultaneous_crashes_count_once),
+    TEST (test_an_answer_anywhere_clears_a_request),
+    TEST (test_an_answer_while_settling_clears_a_request),
+    TEST (test_concurrent_requests_are_not_quarantined),
+    TEST (test_a_crash_counts_against_the_most_frequent_request),
+    TEST (test_indistinguishable_requests_are_tried_at_once),
+    TEST (test_a_trial_crash_counts_against_the_trial_only),
+    TEST (test_trials_are_single_and_back_off),
+    TEST (test_an_undecided_trial_is_repeated_once),
+    TEST (test_a_good_trial_ends_the_quarantine_everywhere),
+    TEST (test_news_from_before_an_answer_is_ignored),
+    TEST (test_a_restarted_node_learns_all_entries),
+    TEST (test_partitions_agree_after_they_heal),
     TEST (test_suspects_are_forgotten_after_some_time),
-    TEST (test_what_is_held_back_is_let_go_in_the_end),
-    TEST (test_the_list_is_bounded_and_keeps_what_matters),
-    TEST (test_a_full_list_takes_up_nothing_that_matters_less),
-    TEST (test_a_crowded_target_still_counts_who_is_known),
+    TEST (test_quarantined_entries_expire),
+    TEST (test_a_full_list_keeps_quarantined_entries),
+    TEST (test_a_full_list_rejects_entries_with_fewer_crashes),
+    TEST (test_known_requests_are_counted_first),
     TEST (test_a_new_version_may_be_tried),
     TEST (test_an_operator_lifts_an_entry),
-    TEST (test_news_ends),
-    TEST (test_implausible_news_is_passed_over),
-    TEST (test_nodes_that_heard_in_another_order_agree),
+    TEST (test_news_is_sent_a_few_times),
+    TEST (test_implausible_news_is_ignored),
+    TEST (test_nodes_agree_for_any_order_of_news),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-retry.c
+++ b/core/tests/test-retry.c
@@ -19,7 +19,7 @@
 {
   RetryBudget *budget;
   gint64 began_us;
-  gboolean first_life;
+  gboolean first_incarnation;
 } Holder;
 
 typedef struct
@@ -32,19 +32,19 @@
 } Fleet;
 
 static void
-start (Fleet *fleet, Holder *holder, gboolean first_life)
+start (Fleet *fleet, Holder *holder, gboolean first_incarnation)
 {
   retry_budget_destroy (holder->budget);
   holder->budget = retry_budget_create (PERCENT, WINDOW_US, fleet->clock);
   holder->began_us = clock_now (fleet->clock);
-  holder->first_life = first_life;
+  holder->first_incarnation = first_incarnation;
 }
 
 static void
 ask (Fleet *fleet, Holder *holder, RetryKind kind)
 {
   gint64 now = clock_now (fleet->clock);
-  gboolean burst = holder->first_life || now - holder->began_us >= WINDOW_US;
+  gboolean burst = holder->first_incarnation || now - holder->began_us >= WINDOW_US;
 
   retry_budget_set_burst (holder->budget, burst ? 100 * BURST / HOLDERS : 0);
   if (!retry_budget_allows (holder->budget, kind))
@@ -125,7 +125,7 @@
 }
 
 static void
-test_no_schedule_exceeds_what_the_fleet_may_retry (void **state)
+test_no_schedule_exceeds_the_fleets_budget (void **state)
 {
   for (guint seed = 1; seed <= SCHEDULES; seed++)
     run (seed);
@@ -133,7 +133,7 @@
 
 /* A sidecar's first incarnation may use its burst at once; a restarted one may not. */
 static void
-test_a_first_life_may_burst_at_once (void **state)
+test_a_first_incarnation_may_burst_at_once (void **state)
 {
   Fleet fleet = { .clock = clock_create_manual (SECOND_US) };
   Holder *holder = &fleet.holders[0];
@@ -157,8 +157,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_no_schedule_exceeds_what_the_fleet_may_retry),
-    cmocka_unit_test (test_a_first_life_may_burst_at_once),
+    cmocka_unit_test (test_no_schedule_exceeds_the_fleets_budget),
+    cmocka_unit_test (test_a_first_incarnation_may_burst_at_once),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-settings.c
+++ b/core/tests/test-settings.c
@@ -76,7 +76,7 @@
 /* A supervisor may start to count the grace up to 0.7 s after the signal, as was seen.
    The cut must be in the last sixth of such a grace too. */
 static void
-test_a_stop_cuts_in_the_last_sixth_of_a_grace_that_is_counted_late (void **state)
+test_a_stop_aborts_in_the_last_sixth_of_a_late_grace (void **state)
 {
   static const double graces_s[] = { 6, 8, 10, 30 };
   JsonFaults *faults = json_faults_create ();
@@ -115,7 +115,7 @@
 
 /* A deployment may set whole, fractional, tiny and huge values, zero, or none. */
 static void
-test_a_start_takes_any_figure_of_a_deployment (void **state)
+test_plausible_settings_are_accepted (void **state)
 {
   static const char *const taken[] = { "",
                                        "\"retry_burst\":25.2",
@@ -145,7 +145,7 @@
 }
 
 static void
-test_a_figure_that_is_refused_is_said_with_its_bounds (void **state)
+test_a_rejected_value_is_reported_with_its_bounds (void **state)
 {
   static const struct
   {
@@ -176,10 +176,10 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_settings_report_every_fault),
     cmocka_unit_test (test_a_short_grace_leaves_time_for_the_last_answers),
-    cmocka_unit_test (test_a_stop_cuts_in_the_last_sixth_of_a_grace_that_is_counted_late),
+    cmocka_unit_test (test_a_stop_aborts_in_the_last_sixth_of_a_late_grace),
     cmocka_unit_test (test_a_stop_may_yield_from_the_last_sixth_on),
-    cmocka_unit_test (test_a_start_takes_any_figure_of_a_deployment),
-    cmocka_unit_test (test_a_figure_that_is_refused_is_said_with_its_bounds),
+    cmocka_unit_test (test_plausible_settings_are_accepted),
+    cmocka_unit_test (test_a_rejected_value_is_reported_with_its_bounds),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-strict.c
+++ b/core/tests/test-strict.c
@@ -78,7 +78,7 @@
 }
 
 static void
-test_a_single_break_is_over_with_one_good_trial (void **state)
+test_one_good_trial_ends_a_single_break (void **state)
 {
   Fixture fixture = setup (DETECTION_STRICT);
 
@@ -108,7 +108,7 @@
 
 /* A request sent before the target became sick is no evidence of its state since. */
 static void
-test_older_work_that_fails_is_no_trial (void **state)
+test_an_older_request_that_fails_is_no_trial (void **state)
 {
   Fixture fixture = setup (DETECTION_STRICT);
   DetectorSample old = { TRUE, TRUE, 5 * SECOND_US, TOOK_US, 0 };
@@ -123,7 +123,7 @@
 }
 
 static void
-test_without_any_work_it_gets_another_chance (void **state)
+test_an_idle_target_gets_another_chance (void **state)
 {
   Fixture fixture = setup (DETECTION_STRICT);
 
@@ -137,7 +137,7 @@
 }
 
 static void
-test_quick_failures_do_not_pass_for_speed (void **state)
+test_quick_failures_do_not_lower_the_latency (void **state)
 {
   Fixture fixture = setup (DETECTION_STRICT);
   DetectorSample quick = { TRUE, TRUE, MS_US, TOOK_US, 0 };
@@ -154,7 +154,7 @@
 }
 
 static void
-test_a_break_at_once_is_told_from_a_late_one (void **state)
+test_an_abrupt_break_differs_from_a_late_one (void **state)
 {
   static const gint64 took_us[] = { 2 * MS_US, 2 * SECOND_US };
 
@@ -178,12 +178,12 @@
     cmocka_unit_test (test_one_broken_exchange_is_enough),
     cmocka_unit_test (test_one_failing_answer_is_not),
     cmocka_unit_test (test_careful_needs_more_than_one_break),
-    cmocka_unit_test (test_a_single_break_is_over_with_one_good_trial),
+    cmocka_unit_test (test_one_good_trial_ends_a_single_break),
     cmocka_unit_test (test_a_bad_spell_takes_two_good_trials_in_a_row),
-    cmocka_unit_test (test_older_work_that_fails_is_no_trial),
-    cmocka_unit_test (test_without_any_work_it_gets_another_chance),
-    cmocka_unit_test (test_quick_failures_do_not_pass_for_speed),
-    cmocka_unit_test (test_a_break_at_once_is_told_from_a_late_one),
+    cmocka_unit_test (test_an_older_request_that_fails_is_no_trial),
+    cmocka_unit_test (test_an_idle_target_gets_another_chance),
+    cmocka_unit_test (test_quick_failures_do_not_lower_the_latency),
+    cmocka_unit_test (test_an_abrupt_break_differs_from_a_late_one),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-succession.c
+++ b/core/tests/test-succession.c
@@ -70,7 +70,7 @@
 /* The node has restarted and does not know of the crash, so the late heartbeat takes
    over. The live start becomes current again because its heartbeats go on. */
 static void
-test_a_late_heartbeat_that_is_taken_for_a_start_does_not_last (void **state)
+test_a_late_heartbeat_takes_over_only_briefly (void **state)
 {
   Fixture fixture = setup ();
 
@@ -84,7 +84,7 @@
 }
 
 static void
-test_one_that_has_said_that_it_ends_never_comes_back (void **state)
+test_a_start_that_announced_its_end_never_returns (void **state)
 {
   Fixture fixture = setup ();
 
@@ -98,7 +98,7 @@
 
 /* A start's announcement that it ends may come before any of its heartbeats. */
 static void
-test_an_end_that_comes_first_is_remembered (void **state)
+test_an_end_before_any_heartbeat_is_remembered (void **state)
 {
   Fixture fixture = setup ();
 
@@ -155,9 +155,9 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_a_new_start_takes_over_at_once),
     cmocka_unit_test (test_a_late_heartbeat_of_a_crashed_start_changes_nothing),
-    cmocka_unit_test (test_a_late_heartbeat_that_is_taken_for_a_start_does_not_last),
-    cmocka_unit_test (test_one_that_has_said_that_it_ends_never_comes_back),
-    cmocka_unit_test (test_an_end_that_comes_first_is_remembered),
+    cmocka_unit_test (test_a_late_heartbeat_takes_over_only_briefly),
+    cmocka_unit_test (test_a_start_that_announced_its_end_never_returns),
+    cmocka_unit_test (test_an_end_before_any_heartbeat_is_remembered),
     cmocka_unit_test (test_a_start_under_the_same_identifier_takes_over),
     cmocka_unit_test (test_a_name_holds_its_identifier),
   };
--- a/core/tests/test-suspension.c
+++ b/core/tests/test-suspension.c
@@ -20,7 +20,7 @@
 #include <core/quarantine.h>
 
 #define SUSPENDED_US (7 * SECOND_US)
-#define STEADY_S 100
+#define MONOTONIC_S 100
 
 /* How many seconds the machine has been suspended so far. */
 static time_t suspended_s;
@@ -30,7 +30,7 @@
 clock_gettime (clockid_t id, struct timespec *now)
 {
   now->tv_nsec = 0;
-  now->tv_sec = STEADY_S + (id == CLOCK_BOOTTIME ? suspended_s : 0);
+  now->tv_sec = MONOTONIC_S + (id == CLOCK_BOOTTIME ? suspended_s : 0);
   return 0;
 }
 
@@ -46,7 +46,7 @@
 }
 
 static void
-test_what_was_borrowed_is_not_spent_afterwards (void **state)
+test_lent_requests_are_not_used_afterwards (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
   AllowanceCache *cache = allowance_cache_create (clock);
@@ -64,7 +64,7 @@
 
 /* All waiting requests expire at once, and none of them starts. */
 static void
-test_what_waited_past_its_deadline_does_not_start (void **state)
+test_requests_queued_past_their_deadline_do_not_start (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
   Admission *admission = admission_create (1, 4, clock);
@@ -85,7 +85,7 @@
 
 /* A request whose deadline has passed is answered as not run instead of being sent. */
 static void
-test_a_request_whose_time_is_over_is_not_sent (void **state)
+test_a_request_past_its_deadline_is_not_sent (void **state)
 {
   Clock *clock = clock_create_manual (SECOND_US);
   GRand *rand = g_rand_new_with_seed (1);
@@ -107,7 +107,7 @@
 
 /* A clock reading from before the suspension is older than the fence's window. */
 static void
-test_the_fence_takes_nothing_from_before_its_window (void **state)
+test_the_fence_rejects_readings_before_its_window (void **state)
 {
   static const FenceLimits limits = { 5 * SECOND_US, 64, 4096 };
   Clock *clock = clock_create_manual (100 * SECOND_US);
@@ -125,7 +125,7 @@
 /* A node that heard nobody during a suspension considers none of the others dead; the one
    probe in flight makes at most its subject suspect. */
 static void
-test_the_others_are_not_thought_dead (void **state)
+test_the_others_are_not_declared_dead (void **state)
 {
   static const char *const no_seeds[] = { NULL };
   Clock *clock = clock_create_manual (SECOND_US);
@@ -159,7 +159,7 @@
 
 /* A quarantined request's next trial is due by elapsed time, including suspended time. */
 static void
-test_the_quarantine_goes_on (void **state)
+test_quarantine_trials_become_due (void **state)
 {
   Clock *clock = clock_create_manual (1000 * SECOND_US);
   Quarantine *quarantine = quarantine_create (clock);
@@ -187,12 +187,12 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_the_clock_counts_the_time_of_a_suspension),
-    cmocka_unit_test (test_what_was_borrowed_is_not_spent_afterwards),
-    cmocka_unit_test (test_what_waited_past_its_deadline_does_not_start),
-    cmocka_unit_test (test_a_request_whose_time_is_over_is_not_sent),
-    cmocka_unit_test (test_the_fence_takes_nothing_from_before_its_window),
-    cmocka_unit_test (test_the_others_are_not_thought_dead),
-    cmocka_unit_test (test_the_quarantine_goes_on),
+    cmocka_unit_test (test_lent_requests_are_not_used_afterwards),
+    cmocka_unit_test (test_requests_queued_past_their_deadline_do_not_start),
+    cmocka_unit_test (test_a_request_past_its_deadline_is_not_sent),
+    cmocka_unit_test (test_the_fence_rejects_readings_before_its_window),
+    cmocka_unit_test (test_the_others_are_not_declared_dead),
+    cmocka_unit_test (test_quarantine_trials_become_due),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-warmup.c
+++ b/core/tests/test-warmup.c
@@ -10,7 +10,7 @@
 #define BURST 4.0
 /* The most requests that a cold target can take in any second, as the users state it: 1.5
    times its rate, and 8 more. */
-#define BEARS_IN_A_SECOND (guint) (PER_S * 1.5 + 8)
+#define COLD_STARTS_MAX_PER_S (guint) (PER_S * 1.5 + 8)
 
 typedef struct
 {
@@ -38,7 +38,7 @@
 /* Starts as many requests as allowed in each millisecond of a span. Returns the most in
    any one second, or G_MAXUINT after 10,000 starts. */
 static guint
-most_in_a_second (Fixture *fixture, gint64 span_us)
+max_starts_in_a_second (Fixture *fixture, gint64 span_us)
 {
   g_autoptr (GArray) starts = g_array_new (FALSE, FALSE, sizeof (gint64));
   guint most = 0;
@@ -63,24 +63,25 @@
 }
 
 static void
-test_a_cold_target_is_given_what_it_bears (void **state)
+test_a_cold_target_gets_a_bounded_rate (void **state)
 {
   Fixture fixture = begin ();
   guint most;
 
   warmup_note_report (fixture.warmup, 60 * SECOND_US);
-  most = most_in_a_second (&fixture, 10 * SECOND_US);
-  assert_in_range (most, (guint)PER_S, BEARS_IN_A_SECOND);
+  most = max_starts_in_a_second (&fixture, 10 * SECOND_US);
+  assert_in_range (most, (guint)PER_S, COLD_STARTS_MAX_PER_S);
   end (&fixture);
 }
 
 static void
-test_one_that_nothing_is_heard_of_is_cold (void **state)
+test_a_silent_target_counts_as_cold (void **state)
 {
   Fixture fixture = begin ();
 
   assert_true (warmup_is_limiting (fixture.warmup));
-  assert_in_range (most_in_a_second (&fixture, 3 * SECOND_US), 1, BEARS_IN_A_SECOND);
+  assert_in_range (max_starts_in_a_second (&fixture, 3 * SECOND_US), 1,
+                   COLD_STARTS_MAX_PER_S);
   warmup_note_report (fixture.warmup, 0);
   assert_false (warmup_is_limiting (fixture.warmup));
   assert_true (warmup_allows (fixture.warmup));
@@ -92,7 +93,7 @@
 /* Starts just before the target turned cold count too, because the bound holds for any
    second. */
 static void
-test_starts_before_it_turned_cold_weigh_on_it (void **state)
+test_starts_before_turning_cold_count (void **state)
 {
   Fixture fixture = begin ();
 
@@ -109,7 +110,7 @@
 }
 
 static void
-test_it_is_warm_when_its_time_is_over (void **state)
+test_a_target_is_warm_after_its_cold_time (void **state)
 {
   Fixture fixture = begin ();
 
@@ -140,7 +141,7 @@
    comes, trials, and queued requests. A request that may not start waits if it can
    be in time. */
 static void
-test_admission_starts_no_more_than_it_bears (void **state)
+test_admission_bounds_starts_of_a_cold_target (void **state)
 {
   Fixture fixture = begin ();
   Admission *admission = admission_create (50, 100, fixture.clock);
@@ -167,7 +168,7 @@
           break;
         }
     }
-  assert_in_range (started, 1, BEARS_IN_A_SECOND);
+  assert_in_range (started, 1, COLD_STARTS_MAX_PER_S);
   assert_true (queued > 0);
   assert_false (admission_is_free (admission));
   /* The limit that ingresses hear of leaves no room. */
@@ -178,13 +179,13 @@
         started++;
       clock_advance (fixture.clock, MS_US);
     }
-  assert_in_range (started, (guint)PER_S, BEARS_IN_A_SECOND);
+  assert_in_range (started, (guint)PER_S, COLD_STARTS_MAX_PER_S);
   admission_destroy (admission);
   end (&fixture);
 }
 
 static void
-test_who_comes_back_is_told_when (void **state)
+test_a_cold_target_says_when_to_retry (void **state)
 {
   Fixture fixture = begin ();
   Admission *admission = admission_create (50, 100, fixture.clock);
@@ -201,13 +202,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_a_cold_target_is_given_what_it_bears),
-    cmocka_unit_test (test_one_that_nothing_is_heard_of_is_cold),
-    cmocka_unit_test (test_starts_before_it_turned_cold_weigh_on_it),
-    cmocka_unit_test (test_it_is_warm_when_its_time_is_over),
+    cmocka_unit_test (test_a_cold_target_gets_a_bounded_rate),
+    cmocka_unit_test (test_a_silent_target_counts_as_cold),
+    cmocka_unit_test (test_starts_before_turning_cold_count),
+    cmocka_unit_test (test_a_target_is_warm_after_its_cold_time),
     cmocka_unit_test (test_without_a_rate_nothing_is_bounded),
-    cmocka_unit_test (test_admission_starts_no_more_than_it_bears),
-    cmocka_unit_test (test_who_comes_back_is_told_when),
+    cmocka_unit_test (test_admission_bounds_starts_of_a_cold_target),
+    cmocka_unit_test (test_a_cold_target_says_when_to_retry),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
