--- a/bench/src/allowance-net-load.c
+++ b/bench/src/allowance-net-load.c
@@ -19,7 +19,6 @@
   return names[pattern];
 }
 
-/* Where the next request comes. */
 SimNode *
 sim_pick_node (Sim *sim)
 {
@@ -54,7 +53,6 @@
          (usual ? USUAL : FLOOD);
 }
 
-/* What happens to nodes and views at this step. */
 void
 sim_trouble (Sim *sim, guint step)
 {
@@ -97,7 +95,7 @@
          sim_rule.slack;
 }
 
-/* A lower allowance binds the windows that begin when all nodes have heard of it. */
+/* A lowered allowance applies to windows that begin after all nodes have received it. */
 double
 sim_worst_window (const Sim *sim)
 {
@@ -119,7 +117,7 @@
   return worst;
 }
 
-/* A Poisson number (Knuth's way; the means here are under ten). */
+/* Knuth's algorithm, which is fast enough for the means here, which are below ten. */
 guint
 sim_arrivals (Sim *sim, double mean)
 {
--- a/bench/src/allowance-net-private.h
+++ b/bench/src/allowance-net-private.h
@@ -1,6 +1,6 @@
 /*
- * What the files of the simulated fleet share: allowance-net.c the nodes and their
- * messages, allowance-net-load.c what comes, what happens, and what is counted.
+ * Shared declarations of the simulated fleet. allowance-net.c has the nodes and their
+ * messages; allowance-net-load.c has demand, injected faults and the worst window.
  */
 #ifndef BENCH_ALLOWANCE_NET_PRIVATE_H
 #define BENCH_ALLOWANCE_NET_PRIVATE_H
@@ -12,20 +12,21 @@
 #define RUN_S 60u
 #define STEPS (RUN_S * STEPS_PER_S)
 #define WINDOW_S 5u
-/* Before it everyone knows everyone, and buckets have filled. */
+/* Simulated before the run, so that the buckets fill up. All nodes know each other. */
 #define SETTLE_US (20 * SECOND_US)
 #define TIMEOUT_US (60 * MS_US)
 #define SILENT_US (500 * MS_US)
 #define NOT_LENDER_US (50 * MS_US)
 #define YOUNG_US SECOND_US
 #define MOST_KEPT_US (30 * SECOND_US)
-/* When trouble begins, how long it lasts, and how long until it is known. */
+/* The fault begins at TROUBLE_S. A cut lasts CUT_S; views change DETECT_S after its start
+   and HEAL_S after its end. A new configuration reaches all nodes within CONFIG_S. */
 #define TROUBLE_S 20u
 #define CUT_S 15u
 #define DETECT_S 5u
 #define HEAL_S 2u
 #define CONFIG_S 2u
-/* Of a question and its answer, with the heads of RPC and record. */
+/* Sizes of a request to a lender and of its answer, with RPC and record headers. */
 #define QUESTION_BYTES 104.0
 #define ANSWER_BYTES 44.0
 
@@ -41,13 +42,13 @@
   AllowancePurse *purse;
   AllowanceTerms terms;
   gint64 started_us;
-  gint64 config_us; /* when it hears of the lowered allowance */
-  /* The question on its way. */
+  gint64 config_us; /* when the node receives the lowered allowance */
+  /* The request to a lender that is in progress. */
   guint waiting;
   guint wanted;
   gint64 waits_since_us;
   gint64 asked_us;
-  gint64 due_us; /* of its answer; 0 for none */
+  gint64 due_us; /* time of the answer or time-out; 0 if no request is in progress */
   gint lender;
 } SimNode;
 
@@ -59,14 +60,14 @@
   SimNode *nodes;
   guint halls;
   char **hall_names;
-  GArray *views[2]; /* of AllowanceNode: what hall 0 sees, what the others see */
-  guint lenders[2][ALLOWANCE_LENDERS]; /* by view, as places */
+  GArray *views[2]; /* AllowanceNode: the nodes seen from hall 0, and from other halls */
+  guint lenders[2][ALLOWANCE_LENDERS]; /* by view; indices into `nodes` */
   guint lender_counts[2];
   gint64 changed_us[2];
   gint64 most_until_us;
   gboolean cut;
-  AllowanceTerms terms; /* those in force */
-  guint *passed;        /* by step */
+  AllowanceTerms terms; /* the newest configuration */
+  guint *passed;        /* requests let through, by step */
   guint asked;
   guint let;
   guint refused;
@@ -78,21 +79,22 @@
 
 extern const AllowanceRule sim_rule;
 
-/* Since everyone knows everyone. */
+/* Returns the microseconds since the end of SETTLE_US. */
 gint64 sim_now (const Sim *sim);
-/* What a view sees, and who lends by it; whenever that changes. */
+/* Rebuilds a view and its lenders after a change. */
 void sim_fill_view (Sim *sim, guint view);
-/* A node begins a new life. */
+/* Starts or restarts a node with empty buckets. */
 void sim_start_node (Sim *sim, SimNode *node);
 
-/* Where the next request comes, and how many a second do. */
+/* Returns the node that receives the next request. */
 SimNode *sim_pick_node (Sim *sim);
+/* Returns the mean number of requests per second in the whole fleet. */
 double sim_demand (const Sim *sim);
-/* A random number of requests of that mean. */
+/* Returns a random number of arrivals, Poisson distributed. */
 guint sim_arrivals (Sim *sim, double mean);
-/* What happens to nodes and views at a step. */
+/* Applies the faults and configuration changes of a step. */
 void sim_trouble (Sim *sim, guint step);
-/* The worst window over what is allowed in one. */
+/* Returns the requests of the worst window, divided by the bound for a window. */
 double sim_worst_window (const Sim *sim);
 
 #endif
--- a/bench/src/allowance-net.c
+++ b/bench/src/allowance-net.c
@@ -8,7 +8,7 @@
   return clock_now (sim->clock) - SETTLE_US;
 }
 
-/* The halls of a fleet of that size, as the users have them. */
+/* Numbers of halls as in the users' fleets of about that size. */
 static guint
 halls_of (guint nodes)
 {
@@ -109,7 +109,8 @@
   g_free (sim);
 }
 
-/* Lenders by the view of a node, as places; those of its own hall first. */
+/* Fills `places` with the indices of the lenders that a node sees; a lender in its own
+   hall comes first. Returns the number of lenders. */
 static guint
 lenders_of (const Sim *sim, const SimNode *node, guint places[ALLOWANCE_LENDERS])
 {
@@ -140,7 +141,8 @@
   return (double)seen / sim->it->nodes;
 }
 
-/* What a lender says; FALSE when it does not take itself for one. */
+/* Lends out of the lender's bucket. Returns FALSE if the node is no lender in its own
+   view or started less than YOUNG_US ago. */
 static gboolean
 lend (Sim *sim, SimNode *lender, guint wanted, AllowanceLoan *loan)
 {
@@ -179,7 +181,7 @@
     }
 }
 
-/* Whether a message between the two gets there. */
+/* Returns FALSE while the two nodes are on different sides of a cut. */
 static gboolean
 gets_there (const Sim *sim, const SimNode *from, const SimNode *to)
 {
--- a/bench/src/allowance-net.h
+++ b/bench/src/allowance-net.h
@@ -1,6 +1,6 @@
 /*
- * Allowances over a simulated fleet: the decisions of core/allowance.h on each node, and
- * the messages between them with their delay. One account at a time.
+ * Simulates the allowance of one account on a fleet: core/allowance.h decides on each
+ * node, and the messages between the nodes are delayed.
  */
 #ifndef BENCH_ALLOWANCE_NET_H
 #define BENCH_ALLOWANCE_NET_H
@@ -9,23 +9,23 @@
 
 typedef enum
 {
-  ALLOWANCE_EQUAL,   /* an equal part at each node, without a message */
-  ALLOWANCE_NO_WAIT, /* lent by a few; what finds nothing at hand is refused at once */
-  ALLOWANCE_LENT     /* lent by a few; it waits for one answer */
+  ALLOWANCE_EQUAL,   /* each node has an equal share; no messages */
+  ALLOWANCE_NO_WAIT, /* a few lenders; a node without a lent request refuses at once */
+  ALLOWANCE_LENT /* a few lenders; a node without a lent request waits for an answer */
 } AllowanceWay;
 #define ALLOWANCE_WAYS 3u
 
 typedef enum
 {
-  ALLOWANCE_STEADY,  /* 62 % of the allowance, by callers at a quarter of the nodes */
-  ALLOWANCE_MOVING,  /* 62 %, all of it in another hall each second */
+  ALLOWANCE_STEADY,  /* demand of 62 % of the allowance, at a quarter of the nodes */
+  ALLOWANCE_MOVING,  /* 62 %, in a different hall each second */
   ALLOWANCE_ONE,     /* five times the allowance, at one node */
   ALLOWANCE_ALL,     /* five times, at all nodes */
-  ALLOWANCE_HALLS,   /* five times, in another hall each second */
-  ALLOWANCE_CUT,     /* five times, at all nodes; a hall is cut off for 15 s */
-  ALLOWANCE_RESTART, /* five times, at all nodes, which all start again in one second */
-  ALLOWANCE_LOWERED, /* five times, at all nodes; the allowance is lowered to a tenth */
-  ALLOWANCE_SMALL    /* one request a second is allowed, and 0.6 come, at any node */
+  ALLOWANCE_HALLS,   /* five times, in a different hall each second */
+  ALLOWANCE_CUT,     /* five times, at all nodes; one hall is cut off for 15 s */
+  ALLOWANCE_RESTART, /* five times, at all nodes, which all restart within one second */
+  ALLOWANCE_LOWERED, /* five times, at all nodes; the allowance is cut to a tenth */
+  ALLOWANCE_SMALL /* an allowance of 1 request/s and a demand of 0.62/s, at all nodes */
 } AllowancePattern;
 #define ALLOWANCE_PATTERNS 9u
 
@@ -39,12 +39,11 @@
 
 typedef struct
 {
-  double worst;    /* the worst window over what is allowed in one; 1 at most */
-  double refused;  /* share of what was asked */
-  double own;      /* what was let through, over what one bucket for all lets through */
-  double moved_ms; /* the longest that the first request of a hall waited, for
-                      patterns that move */
-  double bytes;    /* a second and node, each way */
+  double worst;   /* requests in the worst window, divided by the bound; should be <= 1 */
+  double refused; /* refused share of all requests */
+  double own;     /* requests let through, divided by those of one central token bucket */
+  double moved_ms; /* the longest wait of a request that was let through */
+  double bytes;    /* per second and node, in each direction */
 } AllowanceResult;
 
 const char *allowance_way_name (AllowanceWay way);
--- a/bench/src/bench-accounts.c
+++ b/bench/src/bench-accounts.c
@@ -1,6 +1,6 @@
 /*
- * What client accounts cost a node at full size: the look-up of a request's key, and the
- * planning of a change of one key beside that of one route.
+ * Measures the cost of client accounts at full size: the look-up of a request's key,
+ * planning a change of one key compared with one route, and memory per account.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -77,7 +77,8 @@
   return snapshot_create (plan_head (plan), parts);
 }
 
-/* As the ingress does it: digest, shard, account. */
+/* Measures a look-up as in the ingress: digest of the key, then the account in its shard.
+ */
 static double
 lookup_us (const Snapshot *snapshot)
 {
@@ -148,7 +149,7 @@
   double key;
   gsize after;
 
-  /* What a node keeps: the parts, without the plan and the intent. */
+  /* A node keeps the parts, but not the plan and the intent. */
   plan_destroy (plan);
   g_clear_pointer (&intent, g_free);
   after = allocated ();
--- a/bench/src/bench-allowance.c
+++ b/bench/src/bench-allowance.c
@@ -1,6 +1,7 @@
 /*
- * Ways to keep an account's allowance over a fleet, on the same patterns, as a table; or
- * one of them, as the experiment tool plays it:
+ * Compares protocols that enforce an account's allowance on a fleet, on the same
+ * patterns. Without arguments it prints a table; with arguments it runs one simulation in
+ * the output format of the experiment tool:
  *
  *     bench-allowance run NODES PATTERN --seed N [--why TEXT] [--way WAY]
  */
@@ -32,7 +33,7 @@
   return 0;
 }
 
-/* FALSE for a name that is none. */
+/* Returns FALSE if the pattern or the protocol is unknown. */
 static gboolean
 find_names (AllowanceCase *it, const char *pattern, const char *way)
 {
--- a/bench/src/bench-detect.c
+++ b/bench/src/bench-detect.c
@@ -1,6 +1,6 @@
 /*
- * Detectors side by side on the same traces: detection time and false ejections, as a
- * Markdown table.
+ * Compares failure detectors on the same traces. Prints detection times and false
+ * ejections as a Markdown table.
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/bench/src/bench-members.c
+++ b/bench/src/bench-members.c
@@ -1,6 +1,6 @@
 /*
- * What the membership costs a node at a given size, in a fake network: bytes sent and
- * received, processor time and memory, idle and on a day of restarts.
+ * Measures the cost of the membership protocol per node in a simulated network: bytes
+ * sent, processor time and memory, after joining, when idle and with restarts.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -29,7 +29,7 @@
   return bytes;
 }
 
-/* `restarts` nodes stop and come back anew, spread over the time. */
+/* Restarts `restarts` nodes, evenly spread over the measured time. */
 static void
 measure (MemberNet *net, const char *what, guint restarts)
 {
@@ -49,7 +49,8 @@
           100 * (cpu_seconds () - cpu) / node_seconds);
 }
 
-/* `settle` seconds let the news of the join run out before the idle cost is taken. */
+/* Waits `settle` seconds before the idle measurement, until the news of the joins has
+   died down; 0 leaves out the idle measurement and the restarts. */
 static void
 run (guint count, guint settle)
 {
@@ -70,7 +71,7 @@
     {
       member_net_run (net, settle);
       measure (net, "idle", 0);
-      /* 1828 restarts and failures a day are 1.27 a minute; here ten times that. */
+      /* Ten times the users' rate of 1828 restarts and failures a day (1.27 a minute). */
       measure (net, "13-restarts-a-minute", 13);
     }
   member_net_destroy (net);
--- a/bench/src/bench-overload.c
+++ b/bench/src/bench-overload.c
@@ -1,5 +1,6 @@
 /*
- * Goodput over capacity, with the fleet's mechanisms and without, as a Markdown table.
+ * Prints goodput under overload, with and without the fleet's admission control, retry
+ * budget and failure detection, as a Markdown table.
  */
 #include <stdio.h>
 
--- a/bench/src/bench-quarantine.c
+++ b/bench/src/bench-quarantine.c
@@ -1,6 +1,7 @@
 /*
- * The quarantine, two ways on the same fleets and seeds, and its price a request: a line
- * for each way, pattern and size (the worst of three seeds), then one for each price.
+ * Compares two quarantine protocols on the same simulated fleets and seeds, and measures
+ * the cost of the quarantine for each request. Prints a line for each protocol, pattern
+ * and fleet size (the worst of three seeds), then a line for each cost.
  */
 #include <stdio.h>
 #include <time.h>
@@ -61,7 +62,7 @@
   return (double)now.tv_sec * 1e6 + (double)now.tv_nsec / 1e3;
 }
 
-/* What a request costs that is looked for on a full list, and is not on it. */
+/* Measures the look-up of a request that has no entry, in an empty and in a full list. */
 static void
 print_price (void)
 {
@@ -103,7 +104,8 @@
   clock_destroy (clock);
 }
 
-/* And one whose head is on it: its body is digested, of the largest size. */
+/* Measures all fingerprints of a request with the largest body. A node computes them only
+   if the request's head matches an entry. */
 static void
 print_body_price (void)
 {
--- a/bench/src/bench-reading.c
+++ b/bench/src/bench-reading.c
@@ -1,6 +1,6 @@
 /*
- * What it costs a watcher to read the operator's whole configuration from the store: for
- * the first time, and again when one route has changed. Processor time, in milliseconds.
+ * Measures the processor time of a watcher that reads the operator's configuration from
+ * the store, the first time and again after one route has changed. Prints milliseconds.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -18,7 +18,8 @@
                                           .detection = DETECTION_STRICT,
                                           .queue = 16 };
 
-/* As the users' store gives it; the last route's time differs with the version. */
+/* Returns an answer in the format of the users' store. The last route's time-out depends
+   on the version. */
 static GBytes *
 answer_of (guint routes, guint version)
 {
@@ -60,7 +61,7 @@
 
   stored_reading_run (reading);
   if (stored_reading_result (reading)->outcome != CONFIG_READ_HEAD)
-    g_error ("the configuration does not read");
+    g_error ("reading the generated configuration failed");
   ms = (double)stored_reading_cpu_us (reading) / 1000;
   stored_reading_destroy (reading);
   return ms;
--- a/bench/src/member-net.c
+++ b/bench/src/member-net.c
@@ -5,8 +5,8 @@
 
 #define STEP_US (50 * MS_US)
 #define NEWS_MAX 550u
-/* RPC header, seal, generation, digest, sender and counts of a gossip message, and IP and
-   UDP. */
+/* The fixed part of a gossip message: RPC header, token digest, generation, view digest,
+   sender, counts, and the IP and UDP headers. */
 #define MESSAGE_BYTES (40u + 8u + 48u + 28u)
 #define NONE G_MAXUINT
 
@@ -105,7 +105,7 @@
     members_merge (members, news->member);
 }
 
-/* Sends a message with news; TRUE when it has arrived and been taken in. */
+/* Sends a message with news. Returns TRUE if it was delivered and merged. */
 static gboolean
 send_news (MemberNet *net, guint from, guint to)
 {
@@ -124,7 +124,7 @@
   return TRUE;
 }
 
-/* A session is refused to one whose incarnation is not the one that is held. */
+/* A host accepts a session only from a live member in the incarnation that it knows. */
 static gboolean
 admits (MemberNet *net, guint host, guint guest)
 {
@@ -134,7 +134,7 @@
   return held && held->incarnation == self->incarnation && members_is_alive (held);
 }
 
-/* A view that keeps differing is compared by buckets, as over TCP. */
+/* Compares views by buckets if they have differed for long enough, as nodes do by TCP. */
 static void
 repair (MemberNet *net, guint i, guint with)
 {
--- a/bench/src/member-net.h
+++ b/bench/src/member-net.h
@@ -1,6 +1,6 @@
 /*
- * A fake network for the membership: nodes in halls on a paused clock; messages arrive
- * within the step, unless they are cut. For tests and for the cost at full size.
+ * A simulated network for the membership protocol: nodes in halls on a manual clock.
+ * Messages arrive within the same step or are lost. Used by tests and by bench-members.
  */
 #ifndef BENCH_MEMBER_NET_H
 #define BENCH_MEMBER_NET_H
@@ -13,8 +13,8 @@
   gboolean runs;
   guint hall;
   guint starts;
-  guint64 sent_bytes; /* by the weight of news and a fixed share for each message */
-  guint64 far_bytes;  /* of these, to other halls */
+  guint64 sent_bytes; /* estimated: news by members_weight, and a constant per message */
+  guint64 far_bytes;  /* the part of sent_bytes that went to other halls */
   guint64 messages;
 } NetNode;
 
@@ -25,7 +25,8 @@
   guint halls;
   Clock *clock;
   GRand *rand;
-  /* Faults: a cut from one node to another, a hall apart (halls for none), loss. */
+  /* Faults: the one-way path from cut_from to cut_to is broken; lost_hall is isolated
+     (`halls` for none); loss_percent of the messages are lost. */
   guint cut_from;
   guint cut_to;
   guint lost_hall;
@@ -34,10 +35,10 @@
 
 MemberNet *member_net_create (guint count, guint halls, guint seed);
 void member_net_destroy (MemberNet *net);
-/* Lets so many seconds pass. */
+/* Advances the simulation by `seconds`. */
 void member_net_run (MemberNet *net, guint seconds);
 void member_net_stop (MemberNet *net, guint i);
-/* Starts a node with an empty view and a new incarnation. */
+/* Restarts a node with an empty view and a new incarnation. */
 void member_net_restart (MemberNet *net, guint i);
 gboolean member_net_runs (const MemberNet *net, guint i);
 gboolean member_net_sees (MemberNet *net, guint i, guint subject);
--- a/bench/src/overload.c
+++ b/bench/src/overload.c
@@ -11,7 +11,8 @@
 #define SERVICE_US (10 * MS_US)
 #define DEADLINE_US (200 * MS_US)
 #define LENGTH_US (6 * SECOND_US)
-/* The start is left out of the figures: detection and queues have to settle. */
+/* Requests that arrive earlier are not counted, so that queues and failure detection have
+   reached a steady state. */
 #define SETTLE_US (2 * SECOND_US)
 #define ATTEMPTS_MAX 3u
 #define RETRY_WINDOW_US SECOND_US
@@ -22,8 +23,8 @@
 
 typedef struct
 {
-  Admission *admission; /* guarded */
-  GQueue queue;         /* else: without bound */
+  Admission *admission; /* used if guarded */
+  GQueue queue;         /* used otherwise; unbounded */
   guint in_use;
   Detector *detector;
   gboolean sick;
@@ -37,8 +38,8 @@
   guint priority;
   guint attempts;
   guint target;
-  guint tried;   /* bits */
-  gboolean over; /* the caller has its answer; work may still be going on */
+  guint tried;   /* bit mask of targets */
+  gboolean over; /* the caller has its answer; a target may still be running it */
   guint refs;
 };
 
@@ -139,7 +140,8 @@
             EVENT_SERVED, request, target);
 }
 
-/* The guarded service: the least loaded of two, of those that are not ejected. */
+/* Chooses the less loaded of two random targets that are neither ejected nor tried yet.
+ */
 static gboolean
 choose (Sim *sim, Request *request)
 {
@@ -250,7 +252,8 @@
     start (sim, next, i);
 }
 
-/* The plain service: round robin, queues without bound, retries without a budget. */
+/* Sends without the fleet's mechanisms: round robin, unbounded queues, and retries
+   without a budget. */
 static void
 try_plain (Sim *sim, Request *request)
 {
--- a/bench/src/overload.h
+++ b/bench/src/overload.h
@@ -1,6 +1,6 @@
 /*
- * A service under more work than it can do, on a paused clock: the fleet's admission,
- * dispatch, retry budget and detection against the same service without them.
+ * Simulates an overloaded service on a manual clock, with the fleet's admission control,
+ * dispatch, retry budget and failure detection, or without them.
  */
 #ifndef BENCH_OVERLOAD_H
 #define BENCH_OVERLOAD_H
@@ -13,16 +13,16 @@
 {
   double load;      /* offered, as a multiple of the healthy capacity */
   gboolean sick;    /* half of the targets fail every request, after their usual time */
-  gboolean guarded; /* with the fleet's mechanisms */
-  gboolean blind;   /* but without detection */
+  gboolean guarded; /* use the fleet's mechanisms */
+  gboolean blind;   /* with `guarded`: leave out failure detection */
 } OverloadCase;
 
 typedef struct
 {
-  double goodput; /* answered well and in time, as a share of the capacity */
-  double by_priority[OVERLOAD_PRIORITIES]; /* share of each class that was */
-  double attempts;                         /* sent to targets for each request */
-  double refused_ms; /* mean time until a request that was given up on heard so */
+  double goodput; /* successful answers before the deadline, as a share of the capacity */
+  double by_priority[OVERLOAD_PRIORITIES]; /* the same, as a share of the arrivals */
+  double attempts;                         /* mean number of attempts per request */
+  double refused_ms; /* mean time until a failed request was answered */
 } OverloadResult;
 
 OverloadResult overload_run (const OverloadCase *what, guint seed);
--- a/bench/src/quarantine-net.c
+++ b/bench/src/quarantine-net.c
@@ -5,21 +5,21 @@
 #define STEP_US MS_US
 #define STEPS (QUARANTINE_SPAN_US / STEP_US)
 #define TICK_STEPS 50u
-/* As daemon/src/member/gossip.c has them. */
+/* Fan-out and intervals of quarantine news in daemon/src/member/gossip.c (SPREAD_...). */
 #define NEAR_FANOUT 3u
 #define FAR_FANOUT 1u
 #define FIRST_STEPS 10u
 #define URGENT_STEPS 100u
 #define AGAIN_STEPS 600u
 #define NEWS_MAX 4u
-/* RPC header, seal, sender and digests of a message, and IP and UDP; one entry of news
-   without its ends, and one end (wire/switchmill.x). */
+/* Sizes by wire/switchmill.x: a message with its RPC header, token digest, sender, view
+   digests and the IP and UDP headers; one entry without its crashes; one crash. */
 #define MESSAGE_BYTES 128u
 #define ENTRY_BYTES 60u
 #define END_BYTES 8u
-/* Each node probes one other a second, and is probed, whether or not there is news. */
+/* Each node probes one other node a second, whether or not it has news. */
 #define PROBE_STEPS 1000u
-/* On the way within a hall, to another, and until a busy node has taken it in. */
+/* Delays of a message within a hall, to another hall, and in a busy receiver. */
 #define NEAR_STEPS 1
 #define FAR_STEPS_MAX 13
 #define BUSY_STEPS_MAX 20
@@ -44,10 +44,10 @@
 {
   Quarantine *list;
   gboolean runs;
-  guint spread_step; /* when news is told next; 0 for not */
+  guint spread_step; /* when news is sent next; 0 if nothing is scheduled */
   gboolean spread_urgent;
   guint64 bytes;
-  gint64 held_us; /* when it began to hold the deadly one back; 0 for not yet */
+  gint64 held_us; /* when the node quarantined the deadly request; 0 if it has not */
 } SimNode;
 
 typedef struct
@@ -56,7 +56,7 @@
   Clock *clock;
   GRand *rand;
   SimNode *nodes;
-  GPtrArray **due; /* by step, of Message */
+  GPtrArray **due; /* messages (Message) by the step of their arrival */
   guint step;
   guint32 fresh;
 } Sim;
@@ -96,7 +96,7 @@
   return bytes;
 }
 
-/* Takes the message over. */
+/* Takes ownership of the message. */
 static void
 send_message (Sim *sim, guint from, Message *message)
 {
@@ -187,7 +187,7 @@
          sim->it->nodes;
 }
 
-/* An end that was seen beside `node`. */
+/* Records a crash that `node` has detected at its target. */
 static void
 note_end (Sim *sim, guint node, const GArray *work)
 {
@@ -233,7 +233,7 @@
   return work;
 }
 
-/* A home tells of what it holds back only. */
+/* Home nodes disseminate only quarantined requests: this discards the other news. */
 static void
 forget_news_of_suspects (Sim *sim, guint node)
 {
@@ -257,7 +257,8 @@
   spread_soon (sim, node);
 }
 
-/* A probe and its answer: to one whose digest differs, what it lacks is told. */
+/* A probe. If the digests differ, the answer carries entries of the probed node's list.
+ */
 static void
 probe (Sim *sim, guint node)
 {
@@ -344,7 +345,7 @@
   for (guint i = 0; i < it->nodes; i++)
     {
       sim->nodes[i].list = quarantine_create (sim->clock);
-      /* Those that see an end run; a home may have gone. */
+      /* Nodes that detect a crash keep running; home node 0 stops as well. */
       sim->nodes[i].runs = !is_joining (sim, i) &&
                            !(it->pattern == QUARANTINE_GONE &&
                              (i % GONE_SHARE == 3 || i == home_of (sim, &deadly, 0)));
--- a/bench/src/quarantine-net.h
+++ b/bench/src/quarantine-net.h
@@ -1,12 +1,12 @@
 /*
- * The quarantine on a simulated fleet: how long it takes until the last node in touch
- * holds back a request that has ended three targets, and what a node sends for it. Two
- * ways:
+ * Simulates the quarantine on a fleet. Measures the time until the last reachable node
+ * quarantines a request that has crashed three targets, and the bytes that nodes send for
+ * it. Compares two protocols:
  *
- * - spread: an end is told to all, as the nodes do it (daemon/src/member/gossip.c), and
- * each node counts for itself;
- * - home: an end is told to two home nodes of the request, found by hashing over the
- * members, which count, and tell all what is held back.
+ * - spread: each crash is disseminated to all nodes by gossip, as in
+ * daemon/src/member/gossip.c, and every node counts for itself;
+ * - home: each crash is reported to two home nodes of the request, which are found by
+ * hashing over the members; they count and disseminate only what is quarantined.
  */
 #ifndef BENCH_QUARANTINE_NET_H
 #define BENCH_QUARANTINE_NET_H
@@ -22,13 +22,12 @@
 
 typedef enum
 {
-  QUARANTINE_PLAIN, /* three ends beside three nodes, three others at work at each */
-  QUARANTINE_LOSS,  /* likewise, and one message in twenty is lost */
-  QUARANTINE_GONE,  /* likewise, and one node in ten has just stopped, unnoticed, a home
-                       too */
-  QUARANTINE_RACK,  /* likewise, while 30 targets end at one moment, with ten at work each
-                     */
-  QUARANTINE_JOIN,  /* a node starts after it all, and hears of it by its first probe */
+  QUARANTINE_PLAIN, /* three crashes, seen by three nodes, each with three other requests
+                       running at the target */
+  QUARANTINE_LOSS,  /* PLAIN with one message in twenty lost */
+  QUARANTINE_GONE,  /* PLAIN with one node in ten, and a home node, stopped unnoticed */
+  QUARANTINE_RACK,  /* PLAIN while 30 targets crash at once with ten requests each */
+  QUARANTINE_JOIN,  /* PLAIN; one node starts afterwards and learns by its first probe */
   QUARANTINE_PATTERNS
 } QuarantinePattern;
 
@@ -43,11 +42,11 @@
 
 typedef struct
 {
-  gint64 last_us;     /* from the third end until the last node that runs holds it; -1 for
-                         never within the time that was simulated */
-  double mean_bytes;  /* that a node sends in QUARANTINE_SPAN_US from the first end on */
-  double worst_bytes; /* and the one that sends most */
-  guint innocent;     /* others that were held back anywhere */
+  gint64 last_us;     /* from the third crash until the last running node quarantines the
+                         request; -1 if one has not by the end of the simulation */
+  double mean_bytes;  /* sent by a node during the simulated QUARANTINE_SPAN_US */
+  double worst_bytes; /* sent by the node that sends most */
+  guint innocent;     /* other requests quarantined, summed over the nodes */
 } QuarantineResult;
 
 #define QUARANTINE_SPAN_US (5 * SECOND_US)
--- a/bench/src/traces.c
+++ b/bench/src/traces.c
@@ -3,7 +3,7 @@
 #include <math.h>
 
 #define BASE_US 5000.0
-#define SPREAD 0.4 /* of the logarithm of the answer time */
+#define SPREAD 0.4 /* standard deviation of the logarithm of the answer time */
 #define BASE_FAILURES 0.002
 #define FLAP_US (3 * SECOND_US)
 #define BURST 5u
@@ -88,7 +88,7 @@
   return sim->kind == TRACE_SLOW_2 ? 2 : sim->kind == TRACE_SLOW_10 ? 10 : 1;
 }
 
-/* A normal deviate, by twelve uniform ones. */
+/* Returns an approximately standard normal deviate, the sum of twelve uniform ones. */
 static double
 normal (GRand *rand)
 {
@@ -108,7 +108,7 @@
   return (x > y) - (x < y);
 }
 
-/* What an ingress would send along: medians over the targets' own summaries. */
+/* Sets the medians over all targets, which an ingress would send with a request. */
 static void
 fill_siblings (Sim *sim, DetectorSample *sample)
 {
@@ -172,7 +172,8 @@
   detector_observe (target->detector, &sample);
 }
 
-/* The baseline: three bad health answers in a row eject, one good one brings back. */
+/* The baseline: three failed health checks in a row eject a target, and a good one brings
+   it back. */
 static void
 probe (Sim *sim, guint i)
 {
@@ -193,7 +194,7 @@
   if (now >= target->next_us)
     {
       serve (sim, i);
-      /* Once ejected, a target gets trials only. */
+      /* An ejected target receives trial requests only. */
       target->next_us =
           now + (target->sick
                      ? TRIAL_EVERY_US
--- a/bench/src/traces.h
+++ b/bench/src/traces.h
@@ -1,6 +1,6 @@
 /*
- * Recorded-like traces for detectors: a service of a few targets under one fault, on a
- * paused clock and a seed. The same trace is played to any detector.
+ * Synthetic traces for failure detectors: a service of a few targets with one fault, on a
+ * manual clock. Kind, shape and seed determine the trace, so detectors can be compared.
  */
 #ifndef BENCH_TRACES_H
 #define BENCH_TRACES_H
@@ -18,30 +18,30 @@
   TRACE_FLAPPING,
   TRACE_NOISE,      /* a burst of five failures on a healthy target */
   TRACE_ALL_SLOW,   /* the whole service five times slower for a while */
-  TRACE_PROBES_LIE, /* the health answer is bad, the work is good */
+  TRACE_PROBES_LIE, /* health checks fail although requests succeed */
   TRACE_COUNT
 } TraceKind;
 
 const char *trace_name (TraceKind kind);
-/* Whether target 0 is truly sick in it. */
+/* Returns whether target 0 is faulty in the trace. */
 gboolean trace_has_fault (TraceKind kind);
 
 typedef struct
 {
   guint targets;
-  guint per_second; /* requests at each target */
+  guint per_second; /* requests per second at each target */
   gint64 length_us;
   gint64 fault_us; /* when the fault begins */
 } TraceShape;
 
 typedef struct
 {
-  gint64 detected_us;    /* from the fault to the first verdict; -1 for never */
-  guint false_ejections; /* healthy targets held sick, counted by the time it began */
-  gint64 sick_work;      /* requests that a truly sick target still got */
+  gint64 detected_us;    /* from the fault to its detection; -1 if never detected */
+  guint false_ejections; /* number of times that a healthy target was ejected */
+  gint64 sick_work;      /* requests sent to the faulty target during the fault */
 } TraceResult;
 
-/* A detector of DETECTOR_KINDS stands for the baseline that believes health answers. */
+/* DETECTOR_KINDS as `detector` selects the baseline, which uses health checks only. */
 TraceResult trace_play (TraceKind kind,
                         const TraceShape *shape,
                         DetectorKind detector,
--- a/bench/tests/test-allowance-net.c
+++ b/bench/tests/test-allowance-net.c
@@ -1,5 +1,5 @@
-/* Allowances over a fleet, on each pattern: never over the bound, and of use to callers.
- */
+/* Allowances on a simulated fleet: no window exceeds the bound, and callers can use their
+ * allowance. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -28,8 +28,8 @@
         assert_true (run (pattern, sizes[i], seed).worst < 1);
 }
 
-/* What is within an allowance is let through, also by callers that move, and at any of
-   1,200 nodes for an account of one request a second. */
+/* Demand below the allowance is let through, also when the callers move between halls,
+   and for an account of one request a second whose callers use any of 1,200 nodes. */
 static void
 test_nothing_within_is_refused (void **state)
 {
--- a/bench/tests/test-detector.c
+++ b/bench/tests/test-detector.c
@@ -1,4 +1,4 @@
-/* The chosen detector at both settings, on seeded traces and a paused clock. */
+/* The CUSUM detector at both settings, on seeded traces and a manual clock. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,7 +10,7 @@
 
 static const TraceShape payments = { 3, 20, 120 * SECOND_US, 60 * SECOND_US };
 
-/* The longest that each fault may take to find, by setting, in milliseconds. */
+/* The maximum detection time of each fault, by setting. */
 typedef struct
 {
   TraceKind kind;
--- a/bench/tests/test-members.c
+++ b/bench/tests/test-members.c
@@ -1,5 +1,5 @@
-/* Membership over a fake network on a paused clock: kills, freezes, one-way cuts, a hall
- * that goes and comes back; and what it costs. */
+/* The membership protocol in a simulated network: killed, restarted and frozen nodes,
+ * one-way cuts, an isolated hall, message loss, and the size of messages. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -43,7 +43,7 @@
   member_net_destroy (net);
 }
 
-/* A new node gets the whole view; where views only differ a part must do. */
+/* A comparison sends the whole view to a new node, and otherwise a part of it. */
 static void
 test_a_comparison_of_views_is_bounded (void **state)
 {
@@ -120,7 +120,7 @@
       member_net_run (net, 1);
       assert_true (member_net_sees (net, 3, 5));
       assert_true (member_net_sees (net, 20, 5));
-      /* Nobody was even suspected, or it would have had to overrule it. */
+      /* A suspected node would have raised its epoch to refute the suspicion. */
       assert_int_equal (members_self (net->nodes[3].members)->epoch, 1);
       assert_int_equal (members_self (net->nodes[5].members)->epoch, 1);
     }
@@ -134,7 +134,7 @@
 
   net->lost_hall = 1;
   member_net_run (net, 60);
-  /* Each side sees the other as gone, and goes on with its own. */
+  /* Each side sees the other side's nodes as dead and its own as alive. */
   assert_false (member_net_sees (net, 0, 1));
   assert_false (member_net_sees (net, 1, 0));
   assert_true (member_net_sees (net, 1, 5));
@@ -187,8 +187,8 @@
   return bytes;
 }
 
-/* 60 nodes whose targets change their state each second: in full, each change would be
-   sent some 8 times by each node, at 170 bytes, two thirds of it between halls. */
+/* One of 60 nodes changes its target's state each second. In full, each change would be
+   sent about 8 times by each node at 170 bytes, two thirds of it between halls. */
 static void
 test_changes_of_state_are_told_in_brief (void **test_state)
 {
@@ -211,7 +211,8 @@
   member_net_destroy (net);
 }
 
-/* A name that another's brief could be taken for, and a payload that is not held. */
+/* Compact updates with another incarnation, another payload or another name's hash are
+   ignored, and an update that was merged before is no news. */
 static void
 test_briefs_that_do_not_fit_are_passed_over (void **test_state)
 {
--- a/bench/tests/test-overload.c
+++ b/bench/tests/test-overload.c
@@ -1,4 +1,5 @@
-/* Limits and retries: goodput under overload and with half of the targets sick. */
+/* Admission limits and retries: goodput under overload, and with half of the targets
+ * failing. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/bench/tests/test-quarantine-net.c
+++ b/bench/tests/test-quarantine-net.c
@@ -1,5 +1,5 @@
-/* The quarantine over a simulated fleet: everybody knows in time, and nobody else is
- * held. */
+/* The quarantine on a simulated fleet: all nodes quarantine a deadly request in time, and
+ * no other request is quarantined. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -7,7 +7,7 @@
 
 #include "quarantine-net.h"
 
-/* The users' bound runs from so long after the third end. */
+/* The users' requirement applies from 3 s after the third crash on. */
 #define CONTACT_US (3 * SECOND_US)
 
 static void
@@ -37,7 +37,7 @@
   check (QUARANTINE_LOSS, 353, 5);
 }
 
-/* One in ten has stopped, and nobody knows yet. */
+/* One node in ten has stopped without being noticed yet. */
 static void
 test_nodes_that_have_gone_hold_nothing_up (void **state)
 {
@@ -45,7 +45,7 @@
   check (QUARANTINE_GONE, 353, 5);
 }
 
-/* 300 requests of a rack that ended crowd the list, and none of them is held back. */
+/* The 300 requests of a rack that crashed compete for the 64 entries of the list. */
 static void
 test_a_rack_that_ends_hides_nothing (void **state)
 {
