--- a/standins/src/load.c
+++ b/standins/src/load.c
@@ -1,6 +1,6 @@
 /*
- * A load tool: sends requests of several classes, checks that each answer is whole and
- * its own, and counts outcomes and times by class.
+ * A load generator: sends requests of several classes, checks that each answer is
+ * complete and belongs to its request, and prints outcomes and latencies by class.
  */
 #include <argtable2.h>
 #include <core/histogram.h>
@@ -25,9 +25,9 @@
   gsize body_len;
   guint64 asked;
   guint64 outcomes[OUTCOME_COUNT];
-  guint64 errors;  /* the target's own 5xx, passed on as done */
-  guint64 lost;    /* no answer from the ingress */
-  guint64 foreign; /* an answer that is not this request's, or not whole */
+  guint64 errors;  /* answers with a 5xx status of the target, which count as done */
+  guint64 lost;    /* requests without an answer from the ingress */
+  guint64 foreign; /* answers that belong to another request or are incomplete */
   Histogram *latency;
 } Class;
 
@@ -55,7 +55,7 @@
 static gint64 next_us;
 static LoopTimer *pace;
 static char *run_name;
-static FILE *ids; /* each id with its outcome, where asked for */
+static FILE *ids; /* receives each id with its outcome; may be NULL */
 
 static gboolean send_one (void);
 
@@ -190,7 +190,8 @@
   order.has_body = strcmp (class->method, "GET") != 0;
   order.timeout_us = CALL_TIMEOUT_US;
   order.answer_max = ANSWER_MAX;
-  /* A POST is never sent on a used connection: libcurl might send it twice. */
+  /* A request with a body uses a fresh connection, because libcurl may send a request
+     twice if a reused connection turns out to be dead. */
   order.reuse = !order.has_body;
   class->asked++;
   in_flight++;
@@ -281,7 +282,8 @@
   printf ("}\n");
 }
 
-/* 0 when every answer was whole and its own; strictly, also when none was cut. */
+/* Returns 1 if any answer was incomplete or another request's, or with `strict` if any
+   answer was lost or its outcome is unknown; otherwise 0. */
 static int
 run (double seconds, gboolean strict)
 {
@@ -319,9 +321,9 @@
   struct arg_str *what =
       arg_strn ("c", "class", "NAME:METHOD:PATH:WEIGHT:BYTES", 1, 32, "requests to send");
   struct arg_int *parallel =
-      arg_int0 ("n", "concurrency", "N", "closed loop: so many at once (default 16)");
+      arg_int0 ("n", "concurrency", "N", "closed loop: requests at once (default 16)");
   struct arg_int *per_second =
-      arg_int0 ("r", "rate", "N", "open loop: so many a second instead");
+      arg_int0 ("r", "rate", "N", "open loop: requests a second instead");
   struct arg_dbl *span = arg_dbl0 ("t", "seconds", "S", "how long to send (default 5)");
   struct arg_str *account = arg_str0 ("a", "account", "ID:KEY", "a caller's account");
   struct arg_int *seed =
@@ -351,7 +353,7 @@
 
       if (!class)
         {
-          fprintf (stderr, "standin-load: %s is no class\n", what->sval[i]);
+          fprintf (stderr, "standin-load: invalid class \"%s\"\n", what->sval[i]);
           return 2;
         }
       g_ptr_array_add (classes, class);
--- a/standins/src/platform.c
+++ b/standins/src/platform.c
@@ -1,10 +1,12 @@
 /*
- * A stand-in for the platform's object API: conditional writes, watches, a lagging list
- * of VMs, outages, slowness, and answers that are lost after the write took effect.
+ * A stand-in for the platform's object API: conditional writes, watches, a list of VMs
+ * that can be stale, outages, delays, and writes whose answers are lost.
  *
- * POST /_control?down=0|1&delay_ms=N&lose=N (the next N writes lose their answer)
- *      &vms=TEXT sets the list (a test lets it lag by setting it late). GET /_stats
- * counts calls.
+ * POST /_control?down=0|1&delay_ms=N&lose=N&vms=TEXT
+ *   down: drops open watches and all requests but those for /_control and /_stats.
+ *   lose: drops the answers of the next N writes after they took effect.
+ *   vms: sets the list of VMs; a test makes it stale by setting it late.
+ * GET /_stats returns the numbers of reads, writes, watches and objects.
  */
 #include <io/http-server.h>
 #include <signal.h>
--- a/standins/src/relay.c
+++ b/standins/src/relay.c
@@ -1,10 +1,13 @@
 /*
- * A stand-in for a link that can break in one direction: forwards TCP connections and
- * UDP datagrams to one address, and holds back (TCP) or drops (UDP) what goes one way.
+ * A stand-in for a network link that can fail in one direction. Forwards TCP connections
+ * and UDP datagrams to one address. A closed direction delays TCP data until it is opened
+ * again and drops UDP datagrams.
  *
- * GET /_control?forth=0|1&back=0|1 on the control address opens and closes the ways;
- * reset=1 breaks all connections off, in a way that loses what is under way; hush=1 lets
- * them go silent for good, without an end, while new ones work.
+ * GET /_control on the control address:
+ *   forth=0|1, back=0|1: closes or opens the direction to the target or back from it.
+ *   reset=1: resets all connections, which loses data in flight.
+ *   hush=1: stops forwarding on all present connections for good without closing them;
+ * new connections work.
  */
 #include <io/http-server.h>
 #include <io/loop.h>
@@ -25,15 +28,15 @@
 {
   int fd;
   LoopFd *watch;
-  GByteArray *out; /* waits to be written here */
+  GByteArray *out; /* data to send to this side */
   gboolean ended;
 } Side;
 
 typedef struct
 {
-  Side near; /* who connected */
-  Side far;
-  gboolean silent; /* for good */
+  Side near;       /* the client */
+  Side far;        /* the target */
+  gboolean silent; /* forwards nothing any more */
 } Pair;
 
 typedef struct
@@ -78,7 +81,8 @@
                (side->ended ? 0 : LOOP_READ) | (open && side->out->len ? LOOP_WRITE : 0));
 }
 
-/* An end of the stream is news too: it is held back with the rest of its direction. */
+/* Forwards buffered data in the open directions. The end of a stream counts as data: the
+   pair is freed only after it could be forwarded. */
 static void
 settle (Pair *pair)
 {
@@ -190,10 +194,10 @@
 
   while ((n = recvfrom (fd, chunk, sizeof chunk, 0, (struct sockaddr *)&peer, &len)) >= 0)
     if (forth && send (flow_of (&peer)->fd, chunk, (gsize)n, MSG_NOSIGNAL) < 0)
-      g_debug ("the far side does not listen");
+      g_debug ("cannot forward a datagram to the target");
 }
 
-/* Closing at once, instead of after the last bytes, resets both sides. */
+/* Closing a socket with a linger time of 0 discards its unsent data and sends a reset. */
 static void
 reset_all (void)
 {
--- a/standins/src/target-conn.c
+++ b/standins/src/target-conn.c
@@ -109,8 +109,8 @@
   shutdown (conn->fd, SHUT_RDWR);
 }
 
-/* A request in the platform's dialect is counted under its own id, and answered with it.
- */
+/* Takes the id of a request in the platform's dialect, which is counted and answered
+   under that id. */
 static void
 note_dialect (TargetConn *conn, char **lines, char **seen)
 {
--- a/standins/src/target-conn.h
+++ b/standins/src/target-conn.h
@@ -1,6 +1,6 @@
 /*
- * A connection of a stand-in for a target: requests as they come in, and the bytes of
- * answers, which may be wrong on purpose.
+ * A connection to the target stand-in: parses HTTP requests and writes answers, which may
+ * be malformed on purpose.
  */
 #ifndef STANDINS_TARGET_CONN_H
 #define STANDINS_TARGET_CONN_H
@@ -14,42 +14,45 @@
   GByteArray *in;
   GByteArray *out;
   LoopTimer *timer;
-  gboolean busy;   /* holds a slot */
-  gboolean queued; /* waits for one */
+  gboolean busy;   /* its request holds a slot */
+  gboolean queued; /* its request waits for a slot */
   gboolean closing;
   char *path;
   char *id;
   char *attempt;
-  char *expected;          /* the target that it is meant for, NULL where none is said */
-  gboolean signed_answers; /* the caller speaks the users' dialect */
+  char *expected;          /* the target that the request is meant for; may be NULL */
+  gboolean signed_answers; /* the request is in the users' dialect */
   gsize body_at;
   gsize body_len;
 } TargetConn;
 
-/* Neither watched nor timed yet. */
+/* Takes ownership of `fd`. The caller sets `watch` and `timer`. */
 TargetConn *target_conn_create (int fd);
 void target_conn_destroy (TargetConn *conn);
 
-/* Reads what has come; FALSE when the connection is at its end. */
+/* Reads available data. Returns FALSE if the connection was closed, failed, or holds more
+   than 32 MB. */
 gboolean target_conn_read (TargetConn *conn);
 
 /*
- * Takes the request that has come in apart; FALSE while it is not whole. *seen becomes a
- * line about one in the platform's dialect. Callers here are libcurl, with lengths.
+ * Parses the first buffered request. Returns FALSE while it is incomplete. For a request
+ * in the platform's dialect it replaces *seen by a line that describes the request.
+ * Chunked bodies are not supported, because libcurl sends a Content-Length here.
  */
 gboolean target_conn_parse (TargetConn *conn, char **seen);
-/* Drops the request from what has come in. */
+/* Removes the parsed request from the input buffer. */
 void target_conn_drop_request (TargetConn *conn);
 
-/* The body of a good answer to the request, from a target of that name. */
+/* Returns the body of a correct answer from the target `name`; the caller frees it. */
 char *target_conn_body (const TargetConn *conn, const char *name);
 
 void target_conn_put (TargetConn *conn, const char *text);
-/* A head and a body, whose length is said to be `extra` more; NULL for no attempt. */
+/* Appends an answer whose Content-Length is `extra` bytes too large. `attempt` is the
+   attempt id to echo, or NULL. */
 void target_conn_put_answer (
     TargetConn *conn, guint status, const char *body, const char *attempt, gsize extra);
 void target_conn_flush (TargetConn *conn);
-/* Sends what there is, and ends it. */
+/* Sends the buffered output and shuts the connection down. */
 void target_conn_close_after (TargetConn *conn);
 
 #endif
--- a/standins/src/target-faults.h
+++ b/standins/src/target-faults.h
@@ -1,5 +1,5 @@
 /*
- * What a stand-in for a target does wrong, and how slowly, as /_control has it.
+ * Injected faults and delays of the target stand-in, as set by /_control.
  */
 #ifndef STANDINS_TARGET_FAULTS_H
 #define STANDINS_TARGET_FAULTS_H
@@ -23,19 +23,21 @@
 {
   gint64 latency_us;
   guint error_percent;
-  guint slow_percent; /* of the requests that slow_us holds for */
-  gint64 slow_us;     /* 0 for none that are slow */
-  gint64 flap_us;     /* the faults are on and off by turns of this length; 0 for on */
+  guint slow_percent; /* share of the requests that take slow_us */
+  gint64 slow_us;     /* 0 disables slow requests */
+  gint64 flap_us;     /* faults are on and off in turn, for this long; 0 for always on */
   TargetAnswer answer;
-  char *deadly; /* a request whose path holds this text ends the process; NULL for none */
+  char *deadly; /* the process exits on a path that contains this text; may be NULL */
 } TargetFaults;
 
 gboolean target_faults_on (const TargetFaults *faults, gint64 now_us);
 
-/* Whether a request for `path` ends the process that works on it. */
+/* Returns whether a request for `path` must end the process. */
 gboolean target_faults_is_deadly (const TargetFaults *faults, const char *path);
 
-/* Takes the arguments of /_control; what is missing there stays as it is. */
+/* Applies the arguments of a /_control path. Missing arguments leave their fault as it
+ * is.
+ */
 void target_faults_set (TargetFaults *faults, const char *path);
 
 #endif
--- a/standins/src/target-runs.h
+++ b/standins/src/target-runs.h
@@ -1,5 +1,6 @@
 /*
- * What a stand-in for a target has run: how often each id, and a file with a line a run.
+ * The executions of a target stand-in: a counter per request id, and a log file with a
+ * line per execution.
  */
 #ifndef STANDINS_TARGET_RUNS_H
 #define STANDINS_TARGET_RUNS_H
@@ -9,21 +10,23 @@
 
 typedef struct TargetRuns TargetRuns;
 
-/* `file` is borrowed; NULL for none. */
+/* `file` is borrowed and may be NULL. */
 TargetRuns *target_runs_create (FILE *file);
 void target_runs_destroy (TargetRuns *runs);
 
-/* A run begins; NULL for an id or an expected target that the request does not name. */
+/* Records the start of an execution. `id` and `expected`, the target that the request was
+   meant for, are NULL if the request does not name them. */
 void
 target_runs_add (TargetRuns *runs, const char *id, const char *expected, gint64 now_us);
 
-/* How often an id ran. */
+/* Returns how often a request id was executed. */
 guint target_runs_of (const TargetRuns *runs, const char *id);
 
-/* The totals as JSON, beside how many slots are and were in use; the caller frees it. */
+/* Returns totals as JSON, with `busy`, the slots in use, and `peak`, the most that were
+   in use at once; the caller frees it. */
 char *target_runs_totals (const TargetRuns *runs, guint busy, guint peak);
 
-/* All ids as "ID COUNT" lines; the caller frees it. */
+/* Returns all ids as "ID COUNT" lines; the caller frees it. */
 char *target_runs_ids (const TargetRuns *runs);
 
 #endif
--- a/standins/src/target.c
+++ b/standins/src/target.c
@@ -1,25 +1,33 @@
 /*
- * A stand-in for a target: slots, a service time, and faults on command. It speaks HTTP
- * over sockets of its own, so that it can also speak it badly.
+ * A stand-in for a target, with a number of slots, a service time and injectable faults.
+ * It writes HTTP to its sockets itself, so that it can also send malformed answers.
  *
- * Every request to a plain path runs once, is counted under its X-Request-Id, and is
- * answered with that id, the length and the SHA-256 of the body that came.
+ * Each request to an ordinary path is executed and counted under its X-Request-Id. The
+ * answer holds that id, and the length and the SHA-256 digest of the request body.
+ * Requests wait in a queue while all slots are busy. A request in the platform's dialect
+ * is counted under its id in that dialect, and its answer is signed.
  *
- * /_control?latency_ms=N&error_percent=N&slow_percent=N&slow_ms=N&flap_ms=N&answer=TEXT
- *   answer: whole, truncated, long (bytes past the end), crossed (another's attempt),
- *   silent (never), hangup (runs, closes without an answer), half (half, then silence),
- *   refused (503 that says so, and does not run), busy (503 that does not say).
- * deadly=TEXT: a request whose path holds the text ends the process, once its time of
- * service is over, and everything beside it; an empty text ends that.
- * A request in the platform's dialect is counted under its id there, and its answer is
- * signed. Caller, time left and expected target of the last one are told by /_seen, and
- * the head of the last request as it came by /_head.
- *   flap_ms: faults are on and off by turns of that length.
- * With RUNS_FILE each run adds a line to it when it begins, "ID EXPECTED MICROSECONDS"
- * (the target that the request was meant for; the time since the machine's start), which
- * outlives the process.
- * /_health always answers well. /_runs: totals, and how many ids ran more than once.
- * /_runs?id=ID: how often that one ran. /_ids: all ids, each with how often it ran.
+ * Control paths:
+ *   /_control?latency_ms=N&error_percent=N&slow_percent=N&slow_ms=N&flap_ms=N&answer=TEXT
+ *             &deadly=TEXT
+ *     answer: whole; truncated (closes before the end of the body); long (extra bytes
+ *     after the answer); crossed (echoes another attempt's id); silent (no answer, and
+ * the slot stays busy); hangup (executes, then closes without an answer); half (sends
+ * less than the announced length and stays open); refused (a 503 that states that the
+ *     request was not executed); busy (executes and answers with a plain 503).
+ *     deadly: a request whose path contains the text ends the process after its service
+ *     time; an empty text disables this.
+ *     flap_ms: faults are on and off in turn, for this long.
+ *   /_health: always answers 200.
+ *   /_runs: totals, and the number of ids executed more than once.
+ *   /_runs?id=ID: the number of executions of one id.
+ *   /_ids: all ids with their number of executions.
+ *   /_seen: caller, time left and expected target of the last request in the dialect.
+ *   /_head: the head of the last request, as received.
+ *
+ * Each execution appends a line "ID EXPECTED MICROSECONDS" to RUNS_FILE when it starts,
+ * where EXPECTED is the target that the request was meant for and the time counts from
+ * the boot of the machine. The file outlives the process.
  */
 #include <io/loop.h>
 #include <io/socket.h>
@@ -43,8 +51,8 @@
 static TargetRuns *runs;
 static TargetFaults faults = { .latency_us = 2 * MS_US, .slow_percent = 100 };
 static char *name;
-static char *seen; /* what /_seen tells */
-static char *head; /* what /_head tells */
+static char *seen; /* answer to /_seen */
+static char *head; /* answer to /_head */
 
 static void next_waiting (void);
 static void take_request (TargetConn *conn);
@@ -138,7 +146,7 @@
   if (target_faults_is_deadly (&faults, conn->path))
     exit (EXIT_FAILURE);
   send_answer (conn);
-  /* A silent target keeps its slot busy, as a hung worker would. */
+  /* A silent target keeps its slot busy, like a hung worker. */
   if (faults_on () && faults.answer == TARGET_SILENT)
     return;
   release (conn);
@@ -207,7 +215,7 @@
   target_conn_flush (conn);
 }
 
-/* Says that it did not run it, and does not. */
+/* Answers that the request was not executed. */
 static void
 refuse (TargetConn *conn)
 {
