--- a/model/allowance.pml
+++ b/model/allowance.pml
@@ -1,30 +1,31 @@
 /*
- * An account's allowance, lent by one lender at a time: its bucket, what was lent and is
- * held for a while, the lender's restarts, and the move of the lending to another node.
+ * An account's allowance with one lender at a time: the lender's token bucket, lent
+ * requests that other nodes hold, restarts of the lender, and a change of lender.
  *
- * In each tick the bucket takes RATE and lends some; what is held is used or lapses; the
- * lender may start again, or another may take over, perhaps before the first has heard of
- * it. In any WINDOW ticks no more may be used than BOUND. Each safeguard can be left out:
- *   NO_EMPTY_START  a bucket begins full with a new life of its lender
- *   NO_EMPTY_MOVE   and with the moment at which a node becomes the lender
- *   NO_LAPSE        what was lent is good for ever
- *   NO_STOP         a lender that has heard of another goes on
+ * In each tick the bucket gains RATE tokens and lends some of them. Held requests are used
+ * or expire after HOLD ticks. The lender may restart, or another node may become the lender
+ * before the former lender has learned of it. No more than BOUND requests may be used in
+ * any WINDOW ticks. Each macro disables one safeguard:
+ *   NO_EMPTY_START  the bucket is full, not empty, after a restart of its lender
+ *   NO_EMPTY_MOVE   the bucket of a new lender is full, not empty
+ *   NO_LAPSE        lent requests do not expire
+ *   NO_STOP         a former lender goes on lending after it has learned of the new one
  */
 #define WINDOW 3
 #define HOLD 2
 #define RATE 1
 #define DEPTH 2
-/* What one bucket gives for the uses of a window. A lender that has not heard of another
-   has no more to give than it had taken in before. */
+/* The most that one bucket can lend for use within a window. A former lender that has not
+   yet learned of the new one can only lend tokens gained before the change. */
 #define BOUND ((WINDOW + HOLD - 1) * RATE + DEPTH)
 #define TICKS 9
 #define LENT_MAX 3
 
-byte level[2];          /* of the two nodes' buckets */
-byte lender;            /* the one that lends by the view of those who ask */
-bool stays;             /* the other has not heard yet that it does not */
-byte held[HOLD];        /* by age in ticks */
-byte used[WINDOW];      /* in the last ticks */
+byte level[2];          /* tokens in the buckets of the two nodes */
+byte lender;            /* the node that borrowers take for the lender */
+bool stays;             /* the other node still takes itself for the lender */
+byte held[HOLD];        /* lent and unused requests, by age in ticks */
+byte used[WINDOW];      /* requests used in each of the last ticks, newest first */
 byte tick;
 
 inline fill (node)
@@ -32,7 +33,7 @@
   level[node] = (level[node] + RATE > DEPTH -> DEPTH : level[node] + RATE)
 }
 
-/* Lends as much as chance will have it. */
+/* Lends a nondeterministic number of requests. */
 inline lend (node)
 {
   do
@@ -97,7 +98,7 @@
        :: skip
        fi;
        lend (lender);
-       /* What the former one lends on before it has heard. */
+       /* The former lender lends until it learns of the change. */
        if
        :: stays -> lend (1 - lender);
 #ifdef NO_STOP
--- a/model/era.pml
+++ b/model/era.pml
@@ -1,13 +1,17 @@
 /*
- * A store that comes back from an older copy: era, revision, condition.
+ * A store that is restored from a backup: eras, revisions and conditional writes.
  *
- * The store keeps the operator's version, a node's address and the changes of others under
- * one counter of revisions. Once, it comes back from a copy: its counter goes back, an era
- * begins, and the operator's last version is written again, under another revision. A
- * watcher goes on from the revision that it holds; a node removes what another left behind
- * if it is still of the revision that was read; and looks after its own address.
+ * The store keeps the operator's version, a node's address and another node's entry, with
+ * one revision counter for all writes. It may be restored once from a copy: the counter
+ * goes back, a new era begins, and the operator's last version is written again under
+ * another revision. A watcher continues from the last revision that it has read. A node
+ * removes an entry left by another node if its revision is still the one that was read,
+ * and rewrites its own address if the restore has lost it.
  *
- * Each safeguard can be taken out: NO_WATCH_ERA, NO_CONDITION_ERA, NO_PUT_BACK.
+ * Each macro disables one safeguard:
+ *   NO_WATCH_ERA      a watch continues across a change of era
+ *   NO_CONDITION_ERA  a conditional removal does not compare the era
+ *   NO_PUT_BACK       a node does not rewrite its address in a new era
  */
 #ifdef NO_WATCH_ERA
 #define WATCHED(of) true
@@ -28,8 +32,8 @@
 #define OTHERS 2
 #define NONE 0
 #define OWN 1     /* the node's address */
-#define LEFT 2    /* what a node that has gone left behind */
-#define FOREIGN 3 /* another text under the same name */
+#define LEFT 2    /* an entry left by a node that has gone */
+#define FOREIGN 3 /* another value under the same name */
 
 /* The store. */
 byte revision = 1;
@@ -40,12 +44,12 @@
 byte other = LEFT;
 byte other_at = 1;
 
-/* The copy that it comes back from. */
+/* The copy that the store is restored from. */
 byte copy_revision, copy_version, copy_version_at, copy_own, copy_other, copy_other_at;
 bool copied = false;
 bool restored = false;
 
-byte newest = 1;       /* that the operator has ever written */
+byte newest = 1;       /* the newest version that the operator has written */
 bool operator_done = false;
 bool store_done = false;
 bool own_written = false;
@@ -68,7 +72,7 @@
   operator_done = true
 }
 
-/* What was left behind was written once more, after the copy or before. */
+/* Writes the left entry once more, before the copy is taken or after it. */
 active proctype Leaver ()
 {
   atomic {
@@ -79,7 +83,8 @@
   }
 }
 
-/* Takes a copy, and may come back from it later; others climb past the watched revision. */
+/* Takes a copy and may later be restored from it. Writes of others then raise the revision,
+   possibly past the one that the watcher has read. */
 active proctype Store ()
 {
   byte climbed = 0;
@@ -94,8 +99,8 @@
        revision = copy_revision; version = copy_version; version_at = copy_version_at;
        own = copy_own; other = copy_other; other_at = copy_other_at;
        era++; restored = true;
-       /* What the operator wrote is written again, and another text may come under the
-          name and the number that were read. */
+       /* The operator's last version is written again. Another value may be written under
+          the name, and with the revision, that the remover has read. */
        if
        :: version != newest -> write_version (newest)
        :: else
@@ -114,7 +119,7 @@
   store_done = true
 }
 
-/* Lists once, then goes on from the revision that it holds. */
+/* Lists once, then continues from the last revision that it has read. */
 active proctype Watcher ()
 {
   byte from, from_era;
@@ -126,7 +131,7 @@
   :: stands ->
      atomic {
        if
-       :: revision < from -> stands = false /* 410 */
+       :: revision < from -> stands = false /* the store answers 410 Gone: list again */
        :: revision >= from && !WATCHED (from_era) -> stands = false
        :: revision >= from && WATCHED (from_era) ->
           if
@@ -145,7 +150,7 @@
   od
 }
 
-/* Removes what was left behind, if it is still what was read. */
+/* Removes the left entry if it has not changed since it was read. */
 active proctype Remover ()
 {
   byte read, read_at, read_era;
@@ -160,7 +165,7 @@
   }
 }
 
-/* A node that looks after its own address. */
+/* A node that writes its address, and again in a new era if the address is missing. */
 active proctype Node ()
 {
   byte written_era;
--- a/model/fence.pml
+++ b/model/fence.pml
@@ -1,36 +1,36 @@
 /*
- * The fence: at most one execution, and "not run" is true.
+ * The fence: a request is executed at most once, and the answer "not run" is true.
  *
- * One request, up to two attempts, each at a sidecar of its own. The network keeps every
- * message that was ever sent and delivers it any number of times, in any order, or never;
- * that covers loss, delay, duplicates and crossing, and a paused process on either side,
- * for any process may stand still at any point. A sidecar may crash and come back with a
- * new incarnation, an empty table and a clock of its own.
+ * One request has up to two attempts, each at a different sidecar. The network keeps every
+ * message ever sent and delivers it any number of times, in any order, or never. This
+ * covers loss, delay, duplication, reordering, and paused processes, because any process
+ * may pause at any point. A sidecar may crash and restart with a new incarnation, an empty
+ * table and a new clock.
  *
- * The transitions of the sidecar bear the names of core/src/request/fence.c, those of
- * the ingress the names of core/src/request/dispatch.c.
+ * The transitions of the sidecar are labelled with the functions of
+ * core/src/request/fence.c, those of the ingress with core/src/request/dispatch.c.
  *
- * A macro takes one safeguard out, and must make Spin find a violation:
- *   NO_TOMBSTONE      fence_ask answers "not run" without recording it
- *   NO_INCARNATION    a sidecar takes what is addressed to an earlier incarnation
- *   NO_START_RECORD   the start is recorded only after the target has run
- *   NO_WINDOW         old clock readings are taken although entries were forgotten
+ * Each macro disables one safeguard, and Spin must then find a violation:
+ *   NO_TOMBSTONE      fence_ask answers "not run" without recording a tombstone
+ *   NO_INCARNATION    a sidecar accepts messages to an earlier incarnation
+ *   NO_START_RECORD   the start is recorded only after the target has executed the request
+ *   NO_WINDOW         old clock readings are accepted although entries were dropped
  *   NO_REFUSE_RECORD  fence_refuse leaves no tombstone
- *   NO_PROOF          the ingress goes elsewhere without a refusal or a fence
+ *   NO_PROOF          the ingress retries elsewhere without a refusal or a fence answer
  */
 #define ATTEMPTS 2
 #define CLOCK_MAX 3
 #define WINDOW 1
 #define RESTARTS 1
 
-/* An entry of the fence's table. */
+/* States of an entry in the fence's table. */
 #define ABSENT 0
 #define QUEUED 1
 #define STARTED 2
 #define FINISHED 3
 #define TOMBSTONE 4
 
-/* What the caller hears. */
+/* Answers to the caller. */
 #define NOTHING 0
 #define DONE 1
 #define NOT_RUN 2
@@ -44,12 +44,12 @@
 
 typedef Replies {
   bit done;
-  bit refused;   /* proof that it did not run and never will */
+  bit refused;   /* proof that the attempt was not executed and never will be */
   bit unsure
 }
 
 Message submit[ATTEMPTS];
-bit fence_sent[ATTEMPTS]; /* carries the incarnation and the reading of the submit */
+bit fence_sent[ATTEMPTS]; /* has the incarnation and the clock reading of the submit */
 Replies replies[ATTEMPTS];
 
 /* Sidecar i serves attempt i. */
@@ -92,7 +92,7 @@
             entry[i] = QUEUED; created[i] = now[i]
        :: ADDRESSED (i) && entry[i] == ABSENT && !ACCEPTED (i) -> replies[i].unsure = 1
        :: ADDRESSED (i) && entry[i] == TOMBSTONE -> replies[i].refused = 1
-       :: else -> skip /* known: it is answered when it ends */
+       :: else -> skip /* a known attempt; the answer follows when it finishes */
        fi
      }
   :: atomic { /* fence_start, then the first byte */
@@ -140,7 +140,7 @@
        (entry[i] == FINISHED || entry[i] == TOMBSTONE) && created[i] < HORIZON (i) ->
        entry[i] = ABSENT; created[i] = 0
      }
-  :: atomic { /* crash; what ran at the target has run */
+  :: atomic { /* crash; the executions at the target are not undone */
        restarts < RESTARTS ->
        restarts++; incarnation[i]++; entry[i] = ABSENT; created[i] = 0; now[i] = 0; held = 0
      }
@@ -166,11 +166,11 @@
        fi
      }
   :: atomic { replies[i].unsure -> answer = UNKNOWN; break }
-  :: atomic { !fence_sent[i] -> fence_sent[i] = 1 } /* no answer: ask */
+  :: atomic { !fence_sent[i] -> fence_sent[i] = 1 } /* no answer yet: query the fence */
 #ifdef NO_PROOF
   :: atomic { i + 1 < ATTEMPTS -> i++; goto send }
 #endif
-  :: atomic { answer = UNKNOWN; break } /* out of time */
+  :: atomic { answer = UNKNOWN; break } /* the deadline has passed */
   od
 }
 
