--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,12 +1,12 @@
 #!/bin/bash
-# One table of one run, each figure beside what it is compared with, and checked against
-# its bound in bench/bounds.txt. Ends with 1 when a bound is exceeded.
+# Prints a table of all figures of one run and checks them against the bounds in
+# bench/bounds.txt. Exits with 1 if a bound is exceeded.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/fleet.sh
 bounds=bench/bounds.txt
 failed=0
-row () { # name value unit note: printed, and held against the bound of that name
+row () { # name value unit note: prints a figure and checks it against the bound of its name
   local bound op verdict=""
   if read -r op bound < <(awk -v n="$1" '$1 == n { print $2, $3 }' "$bounds") && [ -n "${op:-}" ]; then
     if awk -v v="$2" -v o="$op" -v b="$bound" 'BEGIN { exit !(o == "<" ? v < b : v > b) }'; then
@@ -42,8 +42,8 @@
 "$mill" --yes --json plan "$dir/i.json" >/dev/null
 await_generation 1 0 1
 load -u 127.0.0.1:7000 -c r:GET:/r:1:0 -r 175 -t 1 >/dev/null
-# Direct and through the fleet by turns, a second each: what else the machine does falls on
-# both, so that their ratio tells of the fleet. The median pair counts.
+# Direct requests and requests through the fleet alternate every two seconds, so that other
+# work on the machine affects both and their ratio shows the fleet's cost. The median counts.
 pairs_50=(); pairs_99=(); added=()
 for _ in 1 2 3 4 5 6 7; do
   direct=$(load -u 127.0.0.1:7300 -c p:POST:/p:1:400 -r 175 -t 2)
@@ -53,7 +53,7 @@
   added+=($(($(field "$via" p p99_us) - $(field "$direct" p p99_us))))
 done
 row added-p99 "$(median "${added[@]}")" us "175 a second, POST of 400 bytes on fresh connections; median of 7 pairs"
-row ratio-p50 "$(median "${pairs_50[@]}")" times "caller, ingress, sidecar, target beside caller, target"
+row ratio-p50 "$(median "${pairs_50[@]}")" times "through ingress and sidecar, compared with direct requests to the target"
 row ratio-p99 "$(median "${pairs_99[@]}")" times
 c0=$(cpu_of "$(pid_of 0)"); c1=$(cpu_of "$(pid_of 1)")
 busy=$(load -u 127.0.0.1:7000 -c r:GET:/r:1:0 -n 64 -t 5)
@@ -65,8 +65,8 @@
 row one-megabyte-and-200-callers-foreign $(($(field "$big" m foreign) + $(field "$big" s foreign))) answers "30 s, $(($(field "$big" m asked) + $(field "$big" s asked))) asked"
 row one-megabyte-done "$(calc "$(field "$big" m done) / $(field "$big" m asked)")" share "of $(field "$big" m asked)"
 
-# --- memory against the configuration, on fresh nodes -----------------------------------
-row memory-after-that "$(calc "$(rss_of "$(pid_of 1)") / 1024" 1)" MB "resident, the sidecar of those bodies"
+# --- memory by size of the configuration, on fresh nodes --------------------------------
+row memory-after-that "$(calc "$(rss_of "$(pid_of 1)") / 1024" 1)" MB "resident, the sidecar that received those bodies"
 stop_all
 start_platform
 node_pids=()
@@ -88,7 +88,7 @@
 row memory-per-route "$(calc "($m1 - $m0) * 1024 / 17000" 0)" bytes "17000 routes: $(((m1 - m0) / 1024)) MB"
 row memory-per-account "$(calc "($m2 - $m1) * 1024 / 44000" 0)" bytes "44000 accounts: $(((m2 - m1) / 1024)) MB"
 row memory-per-target "$(calc "($m3 - $m2) * 1024 / 11976" 0)" bytes "499 services of 24: $(((m3 - m2) / 1024)) MB"
-row memory-at-full-configuration "$(calc "$m3 / 1024" 1)" MB "a node with all of it, resident"
+row memory-at-full-configuration "$(calc "$m3 / 1024" 1)" MB "resident, a node with the full configuration"
 c0=$(cpu_of "$(pid_of 1)")
 echo '{"routes":[{"prefix":"/r/5","service":"s","class":"new"}]}' > "$dir/one.json"
 for g in 5 6 7 8 9; do
@@ -119,7 +119,7 @@
   took=$(((($(date +%s%N)) - t0) / 1000000))
   [ "$took" -gt "$worst" ] && worst=$took
 done
-row change-in-force-on-30-nodes "$worst" ms "worst of 5, plan and confirmation and polling included"
+row change-in-force-on-30-nodes "$worst" ms "worst of 5, including plan, confirmation and polling"
 stop_all
 
 # --- detection on and off, real processes --------------------------------------------
@@ -141,41 +141,41 @@
 row gray-errors-careful "$careful" "% of answers"
 row gray-errors-quick "$quick" "% of answers"
 
-# --- what a watcher reads ---------------------------------------------------------------
+# --- reading the configuration from the store -------------------------------------------
 "$build/bench/bench-reading" > "$dir/reading"
-row reading-whole-17000 "$(sed -n 's/.*"first_ms":\([0-9.]*\).*/\1/p' "$dir/reading")" ms "processor time, of 17000 routes for the first time"
-row reading-one-changed-17000 "$(sed -n 's/.*"again_ms":\([0-9.]*\).*/\1/p' "$dir/reading")" ms "and when one of them has changed"
+row reading-whole-17000 "$(sed -n 's/.*"first_ms":\([0-9.]*\).*/\1/p' "$dir/reading")" ms "processor time, first reading of 17000 routes"
+row reading-one-changed-17000 "$(sed -n 's/.*"again_ms":\([0-9.]*\).*/\1/p' "$dir/reading")" ms "the same after one route has changed"
 
 # --- client accounts -------------------------------------------------------------------
 "$build/bench/bench-accounts" > "$dir/accounts"
-row key-lookup "$(awk '/lookup-us/ { print $2 }' "$dir/accounts")" us "digest, shard and account, of 44000 accounts with two keys"
-row one-key-over-one-route "$(awk '/key-over-route/ { print $2 }' "$dir/accounts")" times "planning of a change of one, at full size"
+row key-lookup "$(awk '/lookup-us/ { print $2 }' "$dir/accounts")" us "digest, shard and account look-up, 44000 accounts with two keys each"
+row one-key-over-one-route "$(awk '/key-over-route/ { print $2 }' "$dir/accounts")" times "planning a change of one key, compared with one route, at full size"
 "$build/bench/bench-allowance" > "$dir/allowance"
-row allowance-worst-window "$(awk '$1 == "lent" && $4 > m { m = $4 } END { print m }' "$dir/allowance")" share "of what a window allows; all patterns, 30 to 1200 nodes"
-row allowance-refused-within "$(awk '$1 == "lent" && ($2 == "steady" || $2 == "small") && $5 > m { m = $5 } END { print m + 0 }' "$dir/allowance")" share "of an account within its allowance"
-row allowance-refused-moving "$(awk '$1 == "lent" && $2 == "moving" && $5 > m { m = $5 } END { print m + 0 }' "$dir/allowance")" share "and of one whose callers move between halls"
-row allowance-hot-own "$(awk 'BEGIN { m = 9 } $1 == "lent" && ($2 == "one" || $2 == "all" || $2 == "halls") && $6 < m { m = $6 } END { print m }' "$dir/allowance")" share "of its own that a hot account gets"
-row allowance-bytes-at-93 "$(awk '$1 == "lent" && $2 == "steady" && $3 == 93 { print $8 }' "$dir/allowance")" bytes/s "a node, each way, one account of 264 a second"
-row allowance-bytes-at-1200 "$(awk '$1 == "lent" && $2 == "all" && $3 == 1200 { print $8 }' "$dir/allowance")" bytes/s "and of one flooded at five times"
+row allowance-worst-window "$(awk '$1 == "lent" && $4 > m { m = $4 } END { print m }' "$dir/allowance")" share "of the bound for a window; all patterns, 30 to 1200 nodes"
+row allowance-refused-within "$(awk '$1 == "lent" && ($2 == "steady" || $2 == "small") && $5 > m { m = $5 } END { print m + 0 }' "$dir/allowance")" share "refused requests of an account within its allowance"
+row allowance-refused-moving "$(awk '$1 == "lent" && $2 == "moving" && $5 > m { m = $5 } END { print m + 0 }' "$dir/allowance")" share "the same for an account whose callers move between halls"
+row allowance-hot-own "$(awk 'BEGIN { m = 9 } $1 == "lent" && ($2 == "one" || $2 == "all" || $2 == "halls") && $6 < m { m = $6 } END { print m }' "$dir/allowance")" share "of its allowance that an account with too many requests receives"
+row allowance-bytes-at-93 "$(awk '$1 == "lent" && $2 == "steady" && $3 == 93 { print $8 }' "$dir/allowance")" bytes/s "per node and direction, one account of 264 requests a second"
+row allowance-bytes-at-1200 "$(awk '$1 == "lent" && $2 == "all" && $3 == 1200 { print $8 }' "$dir/allowance")" bytes/s "the same for an account with five times the demand"
 
-# --- requests that end targets ----------------------------------------------------------
+# --- requests that crash targets --------------------------------------------------------
 "$build/bench/bench-quarantine" > "$dir/quarantine"
-row quarantine-never "$(awk '$1 == "spread" && $5 <= 0 { n++ } END { print n + 0 }' "$dir/quarantine")" cases "in which a node in touch never holds it back"
-row quarantine-last-held "$(awk '$1 == "spread" && $2 != "join" && $5 > m { m = $5 } END { print m + 0 }' "$dir/quarantine")" ms "from the third end until the last node in touch holds it back; all patterns, 31 to 1200 nodes"
-row quarantine-last-held-at-1200 "$(awk '$1 == "spread" && $2 == "plain" && $3 == 1200 { print $5 }' "$dir/quarantine")" ms "likewise, nothing else happening"
-row quarantine-innocent "$(awk '$1 == "spread" { n += $11 } END { print n + 0 }' "$dir/quarantine")" requests "of others, held back anywhere"
-row quarantine-bytes-at-1200 "$(awk '$1 == "spread" && $2 == "plain" && $3 == 1200 { print $7 }' "$dir/quarantine")" bytes/s "that a node sends for it in the 5 s around three ends"
-row quarantine-bytes-of-a-rack "$(awk '$1 == "spread" && $2 == "rack" && $7 > m { m = $7 } END { print m + 0 }' "$dir/quarantine")" bytes/s "likewise, while 30 targets end under 300 other requests"
-row quarantine-price-nothing-known "$(awk '/price-nothing/ { print $2 }' "$dir/quarantine")" us "a request, while no target has ended of late"
-row quarantine-price-full-list "$(awk '/price-full/ { print $2 }' "$dir/quarantine")" us "and with the list full, of the same service"
-row quarantine-price-largest-body "$(awk '/price-largest/ { print $2 }' "$dir/quarantine")" ms "16 MB, of a request that all but its body is suspected of"
+row quarantine-never "$(awk '$1 == "spread" && $5 <= 0 { n++ } END { print n + 0 }' "$dir/quarantine")" cases "in which a reachable node does not quarantine the request"
+row quarantine-last-held "$(awk '$1 == "spread" && $2 != "join" && $5 > m { m = $5 } END { print m + 0 }' "$dir/quarantine")" ms "from the third crash until the last reachable node quarantines; all patterns but join, 31 to 1200 nodes"
+row quarantine-last-held-at-1200 "$(awk '$1 == "spread" && $2 == "plain" && $3 == 1200 { print $5 }' "$dir/quarantine")" ms "the same without other faults"
+row quarantine-innocent "$(awk '$1 == "spread" { n += $11 } END { print n + 0 }' "$dir/quarantine")" requests "quarantined wrongly, summed over the nodes"
+row quarantine-bytes-at-1200 "$(awk '$1 == "spread" && $2 == "plain" && $3 == 1200 { print $7 }' "$dir/quarantine")" bytes/s "sent by a node in the 5 s around three crashes"
+row quarantine-bytes-of-a-rack "$(awk '$1 == "spread" && $2 == "rack" && $7 > m { m = $7 } END { print m + 0 }' "$dir/quarantine")" bytes/s "the same while 30 targets crash under 300 other requests"
+row quarantine-price-nothing-known "$(awk '/price-nothing/ { print $2 }' "$dir/quarantine")" us "per request while the list is empty"
+row quarantine-price-full-list "$(awk '/price-full/ { print $2 }' "$dir/quarantine")" us "per request with a full list of the same service"
+row quarantine-price-largest-body "$(awk '/price-largest/ { print $2 }' "$dir/quarantine")" ms "16 MB, for a request whose head matches an entry"
 
 # --- simulated: membership, overload, detection ---------------------------------------
 "$build/bench/bench-members" > "$dir/members"
-row members-join-bytes-sent-at-400 "$(awk '/members-400-join/ { print $3 }' "$dir/members")" bytes/s "each way; the most there is"
+row members-join-bytes-sent-at-400 "$(awk '/members-400-join/ { print $3 }' "$dir/members")" bytes/s "per node and direction, the largest rate of bench-members"
 row members-idle-bytes-sent-at-120 "$(awk '/members-120-idle/ { print $3 }' "$dir/members")" bytes/s "each way"
 row members-restarts-bytes-sent-at-120 "$(awk '/members-120-13/ { print $3 }' "$dir/members")" bytes/s "ten times the users' restarts a minute, in a fleet of 120"
-row members-memory "$(awk '/members-400 join/ { print $5 }' "$dir/members")" bytes "for each member known"
+row members-memory "$(awk '/members-400 join/ { print $5 }' "$dir/members")" bytes "per known member"
 row members-join-seconds-at-400 "$(awk '/members-400 join/ { print $3 }' "$dir/members")" s
 "$build/bench/bench-overload" > "$dir/overload"
 row goodput-at-4-times "$(awk -F'|' '/ 4.0 \| well/ { print $4 + 0 }' "$dir/overload")" share "without the mechanisms: $(awk -F'|' '/ 4.0 \| well/ { print $5 + 0 }' "$dir/overload")"
--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Everything that must hold: the tests, the same under the address and undefined-behaviour
-# sanitizers, formatter and linter, the model, and a short soak. Each counts. A line of KNOWN-RED.txt
-# ("name: cause, issue") names a test that may fail; it is printed, and counted as failed.
+# Runs all checks: the tests, also under the address and undefined-behaviour sanitizers,
+# formatter and linter, the models, and a short soak. A line of KNOWN-RED.txt ("name: cause,
+# issue") names a test that may fail; it is printed and counted as failed.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
@@ -20,7 +20,7 @@
     cat "$dir/log"
     passed=$((passed + $(grep -c '^\[       OK \]' "$dir/log")))
     mapfile -t failed < <(sed -n 's/^\[  FAILED  \] \([a-z_0-9]*\)$/\1/p' "$dir/log" | sort -u)
-    # A program that ended badly without naming a test has failed as a whole.
+    # A program that failed without naming a test is recorded under its own name.
     [ "$code" -eq 0 ] || [ ${#failed[@]} -gt 0 ] || failed=("$(basename "$name")")
     failures+=("${failed[@]}")
   done < <(find "$1" -name 'test-*' -type f -perm -u+x | sort)
@@ -40,7 +40,7 @@
 [ -f build-sanitized/build.ninja ] ||
   meson setup build-sanitized -Db_sanitize=address,undefined >/dev/null
 if ninja -C build-sanitized >"$dir/build" 2>&1; then
-  # Processes that a test kills have no time to free what they hold.
+  # Leak detection is off, because processes killed by a test cannot free their memory.
   ASAN_OPTIONS=detect_leaks=0 UBSAN_OPTIONS=halt_on_error=1 run_tests build-sanitized
 else
   tail -20 "$dir/build"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,12 +1,13 @@
 #!/bin/bash
-# The two users' deployments in small: real requests, a gray payment target, a drain.
+# Demonstrates small versions of the two users' deployments: requests, a payment target with
+# a partial failure, and a drain.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/fleet.sh
 say () { printf '\n== %s\n' "$*"; }
 vms=()
 
-targets_of () { # service slots latency_ms hall...: each target on a VM of its own
+targets_of () { # service slots latency_ms hall...: starts a target on its own VM in each hall
   local service=$1 slots=$2 latency=$3 n=0 hall
   shift 3
   targets=""
@@ -19,7 +20,7 @@
   done
 }
 
-say "Starting the platform's stand-in, 11 targets, and one node beside each"
+say "Starting the platform stand-in, 11 targets, and one node per target"
 start_platform
 targets_of stondin 10 4 Llandeilo Caerfyrddin Aberhonddu; stondin=$targets
 targets_of taliad 10 6 Llandeilo Caerfyrddin Aberhonddu; taliad=$targets
@@ -31,7 +32,7 @@
 done
 await_ready "${!vms[@]}"
 
-say "An operator states what is wanted; the plan; its confirmation"
+say "An operator submits a configuration; the plan is shown and confirmed"
 cat > "$dir/intent.json" <<J
 {"services":[
  {"name":"stondin","tenant":"wales","floor_slots":20,"detection":"careful","queue":20,"targets":[$stondin]},
@@ -49,7 +50,7 @@
 J
 "$mill" --yes plan "$dir/intent.json"
 await_generation 1 "${!vms[@]}"
-echo "in force on all ${#vms[@]} nodes"
+echo "applied on all ${#vms[@]} nodes"
 
 urls=()
 for i in "${!vms[@]}"; do urls+=(-u "127.0.0.1:$((7000 + i))"); done
@@ -60,27 +61,27 @@
     -c browse:GET:/notices:4:0 -c price-check:GET:/bids/price:3:0 -c bid:POST:/bids/submit:1:2000 "$@"
 }
 
-say "Four seconds of work with all targets well"
+say "Four seconds of load with all targets healthy"
 load -n 24 -t 4
 
-say "taliad-2 turns gray: its health answer stays good, 4 of 10 real requests fail"
+say "taliad-2 fails partially: health checks succeed, 4 of 10 requests fail"
 control 7304 '/_control?error_percent=40' >/dev/null
 load -n 24 -t 5
 "$mill" target | grep -E 'TARGET|taliad'
 "$mill" service | grep -E 'SERVICE|taliad'
 "$mill" -n 127.0.0.1:7104 events | grep target- || true
 
-say "stondin-3 is drained while work goes on"
+say "stondin-3 is drained under load"
 load -n 24 -t 4 & loader=$!
 sleep 1
 "$mill" --yes drain stondin-3
 wait "$loader"
 "$mill" target | grep -E 'TARGET|stondin'
 
-say "A plan that would break a floor is refused"
-if "$mill" --yes drain taliad-1; then echo "it was not refused"; exit 1; fi
+say "A plan that would violate a floor is refused"
+if "$mill" --yes drain taliad-1; then echo "error: the plan was not refused"; exit 1; fi
 
-say "What each target ran, and whether any request ran twice"
+say "Requests executed by each target, and the number executed more than once"
 for i in "${!vms[@]}"; do
   read -r vm _ <<<"${vms[$i]}"
   printf '%-18s %s\n' "$vm" "$(control $((7300 + i)) /_runs)"
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,5 +1,5 @@
-# Functions to start a small fleet on loopback; sourced by demo.sh and bench.sh. Ends all
-# that it started, by process id, when the script ends.
+# Functions to start a small fleet on loopback, for demo.sh and bench.sh. When the script
+# exits, all processes started here are killed by process id.
 build=${BUILD:-build}
 dir=$(mktemp -d)
 pids=()
@@ -36,7 +36,7 @@
   printf '{"name":"%s","vm":"%s","hall":"%s","address":"127.0.0.1:%d","slots":%d}' "$1" "$2" "$3" $((7300 + $4)) "$5"
 }
 
-control () { # port path: one call to a target's stand-in
+control () { # port path: sends a request to a target stand-in, prints the body's first line
   exec 3<>"/dev/tcp/127.0.0.1/$1"
   printf 'GET %s HTTP/1.1\r\nContent-Length: 0\r\n\r\n' "$2" >&3
   head -n 5 <&3 | tail -n 1
@@ -45,7 +45,7 @@
 
 status_of () { "$mill" -n "127.0.0.1:$((7100 + $1))" --json status 2>/dev/null; }
 
-# grep must read to the end: a status cut short would count as failed (pipefail).
+# grep must read all input: with pipefail a SIGPIPE of the status command would be a failure.
 await_ready () { # node...
   for i in "$@"; do until status_of "$i" | grep '"ready" : true' >/dev/null; do sleep 0.05; done; done
 }
--- a/scripts/model.sh
+++ b/scripts/model.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Checks the specifications with Spin, and that the checks have teeth: with any one
-# safeguard taken out Spin must find a violation.
+# Checks the specifications with Spin. To show that the checks are effective, Spin must find
+# a violation when any single safeguard is disabled.
 set -euo pipefail
 cd "$(dirname "$0")/../model"
 dir=$(mktemp -d)
@@ -15,15 +15,15 @@
    grep -q 'errors: 0' out)
 }
 depth_exceeded () { grep -q 'max search depth too small' "$dir/out"; }
-specification () { # file macro...: holds whole, and not without any one safeguard
+specification () { # file macro...: must hold, and must fail with each macro defined
   local file=$1 macro
   shift
-  check "$file" || { cat "$dir/out"; echo "the specification $file does not hold"; exit 1; }
-  depth_exceeded && { echo "the search was cut short"; exit 1; }
-  grep -E 'states, stored' "$dir/out" | sed "s/^ */whole specification of the $file holds: /"
+  check "$file" || { cat "$dir/out"; echo "the specification $file is violated"; exit 1; }
+  depth_exceeded && { echo "the search exceeded the depth limit"; exit 1; }
+  grep -E 'states, stored' "$dir/out" | sed "s/^ */the complete specification $file holds: /"
   for macro in "$@"; do
     if check "$file" "-D$macro"; then
-      echo "$macro: no violation found, so the check has no teeth there"; exit 1
+      echo "$macro: no violation found, so the check does not cover this safeguard"; exit 1
     fi
     grep -q 'assertion violated' "$dir/out" || { cat "$dir/out"; exit 1; }
     echo "$macro: violation found"
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Installs the declared packages that are missing. Needs root only when one is.
+# Installs the packages of packages.txt that are missing. Needs root only if any is.
 set -euo pipefail
 cd "$(dirname "$0")"
 missing=()
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,9 +1,9 @@
 #!/bin/bash
-# The fault soak: runs seeds of build/tests/soak, some beside each other.
-#   soak.sh            the seeds of platform/soak/seeds.txt that once failed, then 50 fresh ones
-#   soak.sh COUNT      the same with so many fresh ones
-#   soak.sh --ci       two fixed seeds, short, with bounds in time that a busy machine keeps too
-# A seed that breaks a promise is printed with its line and the folder of its logs.
+# Fault injection soak: runs build/tests/soak with several seeds, JOBS (default 3) in parallel.
+#   soak.sh            the seeds in platform/soak/seeds.txt that failed before, then 50 random ones
+#   soak.sh COUNT      the same with COUNT random ones
+#   soak.sh --ci       two fixed seeds, short, with time limits that a busy machine meets
+# For a seed that violates an invariant it prints the violation and the folder of the logs.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
@@ -41,5 +41,5 @@
 fi
 failed=$(find "$dir" -name '*.failed' | wc -l)
 total=$(find "$dir" -name '*.log' | wc -l)
-echo "soak: $((total - failed)) seeds kept all promises, $failed did not"
+echo "soak: $((total - failed)) seeds passed, $failed failed"
 [ "$failed" -eq 0 ] && [ "$total" -gt 0 ]
--- a/scripts/teeth.sh
+++ b/scripts/teeth.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
-# Shows that the proofs can fail: takes one safeguard at a time out of a copy of the code,
-# and requires the named test to fail there. An argument selects by test program. Each line of teeth.txt:
-#   test program | file | sed expression that takes the safeguard out | what it was
+# Mutation tests: disables one safeguard at a time in a copy of the code and requires the
+# named test program to fail. An argument, a regular expression, selects test programs.
+# Each line of teeth.txt:
+#   test program | file | sed expression that disables the safeguard | description
 set -euo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
@@ -23,12 +24,12 @@
   if ! ninja -C "$copy/build" > "$copy/log" 2>&1; then
     echo "DOES NOT BUILD: $what"; tail -5 "$copy/log"; missed=$((missed + 1))
   elif SWITCHMILL_BUILD="$copy/build" timeout 300 "$copy/build/$program" > "$copy/log" 2>&1; then
-    echo "NO TEETH: $program passes without: $what"; missed=$((missed + 1))
+    echo "NOT DETECTED: $program passes without: $what"; missed=$((missed + 1))
   else
     echo "fails without: $what  [$(grep -o 'FAILED  \] test_[a-z_]*' "$copy/log" | head -1 | cut -c12-)]"
     bitten=$((bitten + 1))
   fi
   cp "$file" "$copy/$file"; touch "$copy/$file"
 done < scripts/teeth.txt
-echo "$bitten safeguards proved, $missed not"
+echo "$bitten safeguards are covered by a test, $missed are not"
 [ "$missed" -eq 0 ]
