--- a/bench/src/bench-allowance.c
+++ b/bench/src/bench-allowance.c
@@ -67,11 +67,13 @@
 int
 main (int argc, char **argv)
 {
-  struct arg_rex *verb = arg_rex1 (NULL, NULL, "run", "run", 0, "plays one");
-  struct arg_int *nodes = arg_int1 (NULL, NULL, "NODES", "in the fleet");
-  struct arg_str *pattern = arg_str1 (NULL, NULL, "PATTERN", "of load and trouble");
-  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "of chance");
-  struct arg_str *why = arg_str0 (NULL, "why", "TEXT", "not used");
+  struct arg_rex *verb = arg_rex1 (NULL, NULL, "run", "run", 0, "run one simulation");
+  struct arg_int *nodes = arg_int1 (NULL, NULL, "NODES", "size of the fleet");
+  struct arg_str *pattern =
+      arg_str1 (NULL, NULL, "PATTERN", "pattern of load and faults");
+  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "random seed (default 1)");
+  struct arg_str *why =
+      arg_str0 (NULL, "why", "TEXT", "ignored; for the experiment tool");
   struct arg_str *way = arg_str0 (NULL, "way", "WAY", "equal, no-wait or lent");
   struct arg_end *end = arg_end (4);
   void *table[] = { verb, nodes, pattern, seed, why, way, end };
@@ -85,7 +87,7 @@
   if (arg_parse (argc, argv, table) > 0)
     arg_print_errors (stderr, end, "bench-allowance");
   else if (!find_names (&it, pattern->sval[0], way->sval[0]))
-    fprintf (stderr, "bench-allowance: no such pattern or way\n");
+    fprintf (stderr, "bench-allowance: unknown pattern or WAY\n");
   else
     {
       it.nodes = (guint)nodes->ival[0];
