--- a/bench/src/bench-accounts.c
+++ b/bench/src/bench-accounts.c
@@ -77,8 +77,7 @@
   return snapshot_create (plan_head (plan), parts);
 }
 
-/* Measures a look-up as in the ingress: digest of the key, then the account in its shard.
- */
+/* Measures a look-up as in the ingress: digest of the key, shard, account. */
 static double
 lookup_us (const Snapshot *snapshot)
 {
--- a/bench/src/overload.c
+++ b/bench/src/overload.c
@@ -140,8 +140,7 @@
             EVENT_SERVED, request, target);
 }
 
-/* Chooses the less loaded of two random targets that are neither ejected nor tried yet.
- */
+/* Chooses the less loaded of two random targets, without ejected and tried ones. */
 static gboolean
 choose (Sim *sim, Request *request)
 {
--- a/bench/src/quarantine-net.c
+++ b/bench/src/quarantine-net.c
@@ -257,8 +257,7 @@
   spread_soon (sim, node);
 }
 
-/* A probe. If the digests differ, the answer carries entries of the probed node's list.
- */
+/* A probe. If the digests differ, the answer has entries of the probed node's list. */
 static void
 probe (Sim *sim, guint node)
 {
--- a/bench/src/quarantine-net.h
+++ b/bench/src/quarantine-net.h
@@ -4,9 +4,9 @@
  * it. Compares two protocols:
  *
  * - spread: each crash is disseminated to all nodes by gossip, as in
- * daemon/src/member/gossip.c, and every node counts for itself;
+ *   daemon/src/member/gossip.c, and every node counts for itself;
  * - home: each crash is reported to two home nodes of the request, which are found by
- * hashing over the members; they count and disseminate only what is quarantined.
+ *   hashing over the members; they count and disseminate only what is quarantined.
  */
 #ifndef BENCH_QUARANTINE_NET_H
 #define BENCH_QUARANTINE_NET_H
--- a/bench/tests/test-members.c
+++ b/bench/tests/test-members.c
@@ -211,8 +211,8 @@
   member_net_destroy (net);
 }
 
-/* Deltas with another incarnation, another payload or another name's hash are ignored. A
-   delta that was merged before is no news. */
+/* Deltas with another incarnation, another payload or another name's hash are ignored,
+   and merging the same one again reports no change. */
 static void
 test_briefs_that_do_not_fit_are_passed_over (void **test_state)
 {
--- a/standins/src/relay.c
+++ b/standins/src/relay.c
@@ -6,8 +6,8 @@
  * GET /_control on the control address:
  *   forth=0|1, back=0|1: closes or opens the direction to the target or back from it.
  *   reset=1: resets all connections, which loses data in flight.
- *   hush=1: stops forwarding on all present connections for good without closing them;
- * new connections work.
+ *   hush=1: stops forwarding on all present connections without closing them; new ones
+ *     work.
  */
 #include <io/http-server.h>
 #include <io/loop.h>
--- a/standins/src/target-faults.h
+++ b/standins/src/target-faults.h
@@ -35,9 +35,7 @@
 /* Returns whether a request for `path` must end the process. */
 gboolean target_faults_is_deadly (const TargetFaults *faults, const char *path);
 
-/* Applies the arguments of a /_control path. Missing arguments leave their fault as it
- * is.
- */
+/* Applies the arguments of a /_control path. Missing arguments change nothing. */
 void target_faults_set (TargetFaults *faults, const char *path);
 
 #endif
--- a/standins/src/target.c
+++ b/standins/src/target.c
@@ -10,11 +10,15 @@
  * Control paths:
  *   /_control?latency_ms=N&error_percent=N&slow_percent=N&slow_ms=N&flap_ms=N&answer=TEXT
  *             &deadly=TEXT
- *     answer: whole; truncated (closes before the end of the body); long (extra bytes
- *     after the answer); crossed (echoes another attempt's id); silent (no answer, and
- * the slot stays busy); hangup (executes, then closes without an answer); half (sends
- * less than the announced length and stays open); refused (a 503 that states that the
- *     request was not executed); busy (executes and answers with a plain 503).
+ *     answer=whole: the default.
+ *     answer=truncated: closes before the end of the body.
+ *     answer=long: sends extra bytes after the answer.
+ *     answer=crossed: echoes another attempt's id.
+ *     answer=silent: never answers; the slot stays busy.
+ *     answer=hangup: executes the request, then closes without an answer.
+ *     answer=half: sends less than the announced length and stays open.
+ *     answer=refused: sends a 503 that states that the request was not executed.
+ *     answer=busy: executes the request and answers with a plain 503.
  *     deadly: a request whose path contains the text ends the process after its service
  *     time; an empty text disables this.
  *     flap_ms: faults are on and off in turn, for this long.
