--- a/io/include/io/connect-check.h
+++ b/io/include/io/connect-check.h
@@ -1,6 +1,6 @@
 /*
- * Whether anything listens at an address: a connection is opened and closed again,
- * without a byte sent.
+ * Checks whether a process listens at an address: opens a connection and closes it again
+ * without sending a byte.
  */
 #ifndef IO_CONNECT_CHECK_H
 #define IO_CONNECT_CHECK_H
@@ -13,12 +13,14 @@
 {
   CONNECT_ACCEPTED,
   CONNECT_REFUSED, /* nothing listens there */
-  CONNECT_UNKNOWN  /* no answer in time, or the way there is broken */
+  CONNECT_UNKNOWN  /* no answer in time, or a network error */
 } ConnectAnswer;
 
-/* Runs once, from the loop, unless the check is destroyed before. */
+/* Called once, from the loop, unless the check is destroyed first. */
 typedef void (*ConnectCheckFunc) (ConnectAnswer answer, gpointer data);
 
+/* Starts a check of `address` ("IP:port"). Its function is called after `timeout_us` at
+   the latest. */
 ConnectCheck *connect_check_create (Loop *loop,
                                     const char *address,
                                     gint64 timeout_us,
--- a/io/include/io/http-client.h
+++ b/io/include/io/http-client.h
@@ -1,10 +1,10 @@
 /*
- * HTTP out: libcurl's multi interface driven by the loop.
+ * HTTP client: libcurl's multi interface, driven by the loop.
  *
- * Each call goes out on a connection of its own, closed afterwards. libcurl sends a
- * request anew by itself when a reused connection dies before the first answer byte,
- * and bytes left on a reused connection would be taken for the next answer; a fresh
- * connection rules out both.
+ * Each call uses a new connection, which is closed afterwards, unless `reuse` is set.
+ * When a reused connection breaks before the first byte of the answer, libcurl repeats
+ * the request by itself, and bytes left on a reused connection would be read as the next
+ * answer. A new connection rules out both.
  */
 #ifndef IO_HTTP_CLIENT_H
 #define IO_HTTP_CLIENT_H
@@ -17,11 +17,11 @@
 
 typedef enum
 {
-  HTTP_CALL_OK,       /* a whole answer, of whatever status */
-  HTTP_CALL_UNSENT,   /* no connection: not a byte went out */
-  HTTP_CALL_TIMEOUT,  /* no whole answer in time */
-  HTTP_CALL_BROKEN,   /* cut, truncated or ill-framed */
-  HTTP_CALL_TOO_LARGE /* the answer is over the bound */
+  HTTP_CALL_OK,       /* a complete answer with any status */
+  HTTP_CALL_UNSENT,   /* the connection failed: no byte was sent */
+  HTTP_CALL_TIMEOUT,  /* no complete answer in time */
+  HTTP_CALL_BROKEN,   /* the connection broke, or the answer is truncated or malformed */
+  HTTP_CALL_TOO_LARGE /* the answer exceeds `answer_max` */
 } HttpCallOutcome;
 
 typedef struct
@@ -31,37 +31,39 @@
   GArray *headers; /* of HttpHeader */
   GByteArray *body;
   gint64 took_us;
-  const char *detail; /* the library's words on a call that failed, else "" */
+  const char *detail; /* libcurl's error text for a failed call, else "" */
 } HttpResult;
 
 typedef struct
 {
   const char *method;
   const char *url;
-  const GArray *headers; /* hop headers in it are left out */
+  const GArray *headers; /* hop-by-hop headers in it are not sent */
   const void *body;
   gsize body_len;
   gboolean has_body;
   gint64 timeout_us;
   gsize answer_max;
-  GDestroyNotify abandon; /* frees `data` when the client goes before the call ends */
-  gboolean reuse;         /* may share connections: only for calls harmless to repeat */
+  GDestroyNotify abandon; /* frees `data` if the client is destroyed during the call */
+  gboolean reuse; /* allows a reused connection, for calls that are safe to repeat */
 } HttpOrder;
 
-/* Runs exactly once, from the loop, unless the call is cancelled; `result` is borrowed.
- */
+/* Called exactly once, from the loop, unless the call is cancelled or the client is
+   destroyed before. `result` is borrowed. */
 typedef void (*HttpDoneFunc) (const HttpResult *result, gpointer data);
 
 HttpClient *http_client_create (Loop *loop);
 void http_client_destroy (HttpClient *client);
 
-/* Everything in `order` is copied. */
+/* Starts a call. Everything in `order` is copied; `data` must stay valid until the call
+   ends. */
 HttpCall *http_client_send (HttpClient *client,
                             const HttpOrder *order,
                             HttpDoneFunc done,
                             gpointer data);
 
-/* Closes the call's connection at once; its function will not run. */
+/* Closes the call's connection at once and frees the call. Neither `done` nor `abandon`
+   is called. */
 void http_call_cancel (HttpCall *call);
 
 #endif
--- a/io/include/io/http-server.h
+++ b/io/include/io/http-server.h
@@ -1,5 +1,5 @@
 /*
- * HTTP in: libmicrohttpd driven by the loop. A handler gets whole requests only.
+ * HTTP server: libmicrohttpd, driven by the loop. Handlers get complete requests only.
  */
 #ifndef IO_HTTP_SERVER_H
 #define IO_HTTP_SERVER_H
@@ -16,15 +16,18 @@
   guint connections_max;
   gsize header_max; /* bytes of request line and headers */
   gsize body_max;   /* bytes */
-  gint64 read_us;   /* from the first byte's due to the whole request */
-  gint64 idle_us;   /* a connection without a request is closed after so long */
-  gint64 stall_us; /* one whose answer nobody takes is closed after so long; 0 for none */
-  gsize held_max;  /* bytes of bodies and answers of all requests; 0 for no bound. While
-                      they are more, new requests are refused as not run */
+  gint64 read_us;   /* for a whole request, from the connection or its request line on */
+  gint64 idle_us;   /* a connection without a request is closed after this time */
+  gint64 stall_us;  /* a connection whose caller reads nothing of its answer is closed
+                       after this time; 0 disables the check */
+  gsize held_max;   /* bytes of bodies and answers of all requests; 0 for no bound. New
+                       requests that would exceed it are refused as not run */
 } HttpLimits;
 
 typedef void (*HttpHandler) (HttpRequest *request, gpointer data);
 
+/* Listens on `address` ("IP:port"). Returns NULL with `error` set (G_IO_ERROR) if it
+   cannot. */
 HttpServer *http_server_create (Loop *loop,
                                 const char *address,
                                 const HttpLimits *limits,
@@ -33,42 +36,43 @@
                                 GError **error);
 void http_server_destroy (HttpServer *server);
 
-/* Runs when a caller is let go that has taken nothing of its answer for too long; `left`
-   is what it had not taken, in bytes. One function in all. */
+/* Called when a connection is closed because its caller has read nothing of its answer
+   for `stall_us`. `left` is the unread rest of the answer in bytes. One function per
+   server. */
 typedef void (*HttpLetGoFunc) (gsize left, gpointer data);
 void http_server_set_let_go (HttpServer *server, HttpLetGoFunc func, gpointer data);
-/* Runs when a request is refused for want of room; likewise. */
+/* Called when a request is refused because of `held_max`; one function per server. */
 typedef void (*HttpFullFunc) (gpointer data);
 void http_server_set_full (HttpServer *server, HttpFullFunc func, gpointer data);
 
-/* Stops taking connections; those open are served on. */
+/* Stops accepting connections. Open connections are still served. */
 void http_server_quiesce (HttpServer *server);
 
-/* Serves on, but closes each connection with its next answer. */
+/* Keeps serving, but closes each connection after its next answer. */
 void http_server_set_closing (HttpServer *server);
 
-/* Requests taken and not yet answered in full. */
+/* Returns the number of requests that were accepted and are not yet answered in full. */
 guint http_server_active (const HttpServer *server);
 
 HttpRequest *http_request_ref (HttpRequest *request);
 void http_request_unref (HttpRequest *request);
 
-/* When it had been read, by the loop's clock. */
+/* Returns the time at which the whole request had been read, by the loop's clock. */
 gint64 http_request_taken_us (const HttpRequest *request);
 const char *http_request_method (const HttpRequest *request);
-/* The path with its query, as the caller sent it. */
+/* Returns the path with its query, as sent by the caller. */
 const char *http_request_target (const HttpRequest *request);
-/* The path alone, decoded. */
+/* Returns the decoded path without the query. */
 const char *http_request_path (const HttpRequest *request);
-/* A query argument, decoded, or NULL. */
+/* Returns a decoded query argument, or NULL if it is missing or the exchange is over. */
 const char *http_request_argument (const HttpRequest *request, const char *name);
 const GArray *http_request_headers (const HttpRequest *request);
 const char *http_request_header (const HttpRequest *request, const char *name);
 const GByteArray *http_request_body (const HttpRequest *request);
 
 /*
- * Answers; once per request, from the handler or later. `headers` may be NULL,
- * and hop headers in it are left out. The body is copied.
+ * Answers the request. Allowed once per request, from the handler or later. `headers` may
+ * be NULL, and hop-by-hop headers in it are left out. The body is copied.
  */
 void http_request_answer (HttpRequest *request,
                           guint status,
@@ -76,16 +80,17 @@
                           const void *body,
                           gsize len);
 
-/* Runs when the caller hangs up before the answer; at most once, from the loop. */
+/* Called when the caller closes its connection before the answer; at most once, from the
+   loop. */
 typedef void (*HttpGoneFunc) (gpointer data);
 
-/* Asks to be told of a hang-up; `func` NULL asks no more. */
+/* Calls `func` when the caller closes its connection. NULL ends the watch. */
 void http_request_watch_gone (HttpRequest *request, HttpGoneFunc func, gpointer data);
 
 /* Closes the connection without an answer. */
 void http_request_drop (HttpRequest *request);
 
-/* Answers with a JSON text and its content type. */
+/* Answers with a JSON text and the content type application/json. */
 void http_request_answer_json (HttpRequest *request, guint status, const char *json);
 
 #endif
--- a/io/include/io/http-types.h
+++ b/io/include/io/http-types.h
@@ -1,5 +1,5 @@
 /*
- * What HTTP in and out have in common: header lists.
+ * Header lists, for the HTTP client and the HTTP server.
  */
 #ifndef IO_HTTP_TYPES_H
 #define IO_HTTP_TYPES_H
@@ -12,14 +12,17 @@
   char *value;
 } HttpHeader;
 
-/* An owned list of headers; a GArray of HttpHeader that frees its texts. */
+/* Returns an empty GArray of HttpHeader that frees its strings. The caller owns it. */
 GArray *http_headers_new (void);
+/* Appends a copy of a header; a NULL value is stored as "". */
 void http_headers_add (GArray *headers, const char *name, const char *value);
 
-/* The first value under `name` (case folded), or NULL. */
+/* Returns the first value of the header `name`, ignoring case, or NULL. */
 const char *http_headers_get (const GArray *headers, const char *name);
 
-/* Whether a header belongs to one hop only and is never forwarded (RFC 9110, 7.6.1). */
+/* Returns whether a header applies to one connection only and is never forwarded (RFC
+   9110, section 7.6.1). Expect and Content-Length are included: the libraries handle them
+   for each connection. */
 gboolean http_header_is_hop (const char *name);
 
 #endif
--- a/io/include/io/rpc.h
+++ b/io/include/io/rpc.h
@@ -1,6 +1,6 @@
 /*
- * ONC RPC over TCP between nodes: persistent connections, many calls in flight,
- * matched by xid. Never blocks and never sends a call twice.
+ * ONC RPC over TCP between nodes: persistent connections with many calls in flight,
+ * matched by xid. No function blocks, and no call is sent twice.
  */
 #ifndef IO_RPC_H
 #define IO_RPC_H
@@ -12,16 +12,19 @@
 typedef struct RpcConn RpcConn;
 typedef struct RpcPeer RpcPeer;
 
-/* Takes a call; `in` stands at its arguments and is gone after the return. */
+/* Handles a call. `in` is positioned at the arguments and is valid until the return. */
 typedef void (*RpcCallFunc) (RpcConn *conn, const WireCall *call, XDR *in, gpointer data);
 
-/* Bounds of a server: connections at once, and silence after which one is closed. */
+/* Bounds of a server: concurrent connections, and the time without a record in either
+   direction after which a connection is closed. */
 typedef struct
 {
   guint connections_max;
   gint64 idle_us;
 } RpcLimits;
 
+/* Listens on `address` ("IP:port"). Returns NULL with `error` set (G_IO_ERROR) if it
+   cannot. */
 RpcServer *rpc_server_create (Loop *loop,
                               const char *address,
                               const RpcLimits *limits,
@@ -33,31 +36,34 @@
 RpcConn *rpc_conn_ref (RpcConn *conn);
 void rpc_conn_unref (RpcConn *conn);
 
-/* Answers one call; dropped without harm when the connection has gone. Returns the bytes
-   that go out, 0 for none. */
+/* Answers one call; does nothing if the connection has closed. Closes the connection if
+   the result does not encode. Returns the length of the reply in bytes, 0 if none is
+   sent. */
 gsize rpc_conn_reply (RpcConn *conn, guint32 xid, xdrproc_t proc, void *result);
 
 /* Refuses one call with AUTH_ERROR. */
 void rpc_conn_deny (RpcConn *conn, guint32 xid);
 
-/* The peer that this connection has proved to be, or NULL; kept by the connection. */
+/* Returns the name of the node that the connection has authenticated as, or NULL. The
+   connection owns it. */
 const char *rpc_conn_peer (const RpcConn *conn);
+/* Sets the authenticated node, and allows it records of WIRE_RECORD_MAX bytes. */
 void rpc_conn_set_peer (RpcConn *conn, const char *node);
 
 typedef enum
 {
   RPC_OK,
   RPC_DENIED,  /* refused before it ran */
-  RPC_UNSENT,  /* no connection came about: nothing of the call left this node */
+  RPC_UNSENT,  /* no connection was established: nothing of the call was sent */
   RPC_LOST,    /* the connection broke with the call in flight */
-  RPC_TIMEOUT, /* no answer in time; a late one is dropped */
-  RPC_BAD      /* an answer that does not decode */
+  RPC_TIMEOUT, /* no answer in time; a late answer is dropped */
+  RPC_BAD      /* the answer does not decode */
 } RpcOutcome;
 
-/* `result` is valid for RPC_OK only, and is freed after the return. */
+/* `result` is set for RPC_OK only and is freed after the function returns. */
 typedef void (*RpcDoneFunc) (RpcOutcome outcome, void *result, gpointer data);
 
-/* A call's codecs: of arguments and result, and the result's size in memory. */
+/* The codecs of a call's arguments and result, and the size of the decoded result. */
 typedef struct
 {
   guint32 procedure;
@@ -66,12 +72,14 @@
   gsize result_size;
 } RpcProcedure;
 
-/* A peer by address; connects when first called, again when called after a break. */
+/* Creates a peer at `address` ("IP:port"). The first call connects, and so does the first
+   call after the connection broke. */
 RpcPeer *rpc_peer_create (Loop *loop, const char *address);
+/* Closes the connection. Calls in flight end with RPC_LOST. */
 void rpc_peer_destroy (RpcPeer *peer);
 
-/* Calls; `done` runs exactly once, never inside this function. Returns the bytes that go
-   out, 0 for none. */
+/* Starts a call. `done` is called exactly once, and never from within this function.
+   Returns the length of the call in bytes, 0 if none is sent. */
 gsize rpc_peer_call (RpcPeer *peer,
                      const RpcProcedure *procedure,
                      void *args,
@@ -79,19 +87,20 @@
                      RpcDoneFunc done,
                      gpointer data);
 
-/* Gives the connection up: calls on their way are lost, and the next opens a new one. */
+/* Closes the connection. Calls in flight fail, and the next call opens a new one. */
 void rpc_peer_renew (RpcPeer *peer);
 
-/* When the peer last sent anything, on the loop's clock; 0 for never. */
+/* Returns when the peer's last record arrived, by the loop's clock; 0 for never. */
 gint64 rpc_peer_heard_us (const RpcPeer *peer);
 
-/* Whether there is a connection now. */
+/* Returns whether a connection is established. */
 gboolean rpc_peer_is_open (const RpcPeer *peer);
 
-/* Rises by one with each new connection; 0 before the first. */
+/* Returns the number of the current or last connection: 1 for the first, 0 before it. */
 guint rpc_peer_connection (const RpcPeer *peer);
 
-/* Bytes sent and received since the start, records and marks. */
+/* Returns the bytes of records and record marks that were sent and received since the
+   peer was created. */
 void rpc_peer_bytes (const RpcPeer *peer, guint64 *sent, guint64 *received);
 
 #endif
--- a/io/include/io/socket.h
+++ b/io/include/io/socket.h
@@ -1,5 +1,5 @@
 /*
- * Non-blocking TCP sockets by IP number, and "address:port" texts.
+ * Non-blocking TCP sockets over IPv4, and "address:port" texts.
  */
 #ifndef IO_SOCKET_H
 #define IO_SOCKET_H
@@ -7,19 +7,22 @@
 #include <glib.h>
 #include <netinet/in.h>
 
-/* Reads "127.0.0.1:80". FALSE when it is not an IPv4 number and a port. */
+/* Reads an address such as "127.0.0.1:80". Returns FALSE unless it is an IPv4 address
+   with a port. */
 gboolean socket_address_parse (const char *text, struct sockaddr_in *address);
 
-/* A listening socket, or -1 with `error` set. */
+/* Returns a listening socket, or -1 with `error` set (G_IO_ERROR). */
 int socket_listen (const char *text, GError **error);
 
-/* A socket on its way to `text`, or -1. Writable or broken once it is decided. */
+/* Starts to connect to `text`. Returns the socket, or -1 on failure. The socket becomes
+   writable or reports an error once the connection has succeeded or failed. */
 int socket_connect (const char *text);
 
-/* Takes a waiting connection, non-blocking; -1 when there is none. */
+/* Accepts a pending connection as a non-blocking socket. Returns -1 if there is none. */
 int socket_accept (int listener);
 
-/* The error a connecting or open socket stands at: 0 for none. */
+/* Returns the pending error of a socket (SO_ERROR), which the kernel then clears; 0 for
+   none. */
 int socket_error (int fd);
 
 #endif
--- a/io/src/connect-check.c
+++ b/io/src/connect-check.c
@@ -10,7 +10,7 @@
   int fd;
   LoopFd *watch;
   LoopTimer *timer;
-  gboolean refused; /* at once, as a machine does to itself */
+  gboolean refused; /* by connect() itself, as on the same machine */
   ConnectCheckFunc func;
   gpointer data;
 };
@@ -51,7 +51,7 @@
     }
 }
 
-/* Time is up, or it was decided when the connection was begun. */
+/* Runs at the timeout, or at once if connect() has failed. */
 static void
 on_timer (gpointer data)
 {
--- a/io/src/datagram.c
+++ b/io/src/datagram.c
@@ -57,7 +57,7 @@
   if (!socket_address_parse (address, &local))
     {
       g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT,
-                   "%s is not an IP number and a port", address);
+                   "%s is not an IPv4 address with a port", address);
       return NULL;
     }
   fd = socket (AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
--- a/io/src/http-answer.c
+++ b/io/src/http-answer.c
@@ -2,16 +2,16 @@
 
 #include <string.h>
 
-/* A piece of an answer: what the library holds beside the body itself. */
+/* The size of libmicrohttpd's buffer for an answer, in bytes, besides the body itself. */
 #define PIECE_MAX (32u * 1024)
 
 typedef struct
 {
   GBytes *body;
-  Conn *conn; /* alive as long as pieces are asked for */
+  Conn *conn; /* valid as long as next_piece is called */
 } Answer;
 
-/* The connection has room for more: the caller has taken some. */
+/* libmicrohttpd asks for more when the socket has room, so the caller has read some. */
 static ssize_t
 next_piece (void *data, uint64_t at, char *piece, size_t max)
 {
--- a/io/src/http-client.c
+++ b/io/src/http-client.c
@@ -194,7 +194,7 @@
   g_autofree char *line = g_strndup (text, len);
   char *colon = strchr (line, ':');
 
-  /* A new status line, as after an interim answer: what came before is not the answer. */
+  /* A new status line follows an interim answer, whose headers are dropped. */
   if (g_str_has_prefix (line, "HTTP/"))
     g_array_set_size (call->result.headers, 0);
   else if (colon)
@@ -234,7 +234,7 @@
                             : g_strdup_printf ("%s;", header->name);
       call->headers = curl_slist_append (call->headers, line);
     }
-  /* An empty value takes libcurl's own header out. */
+  /* An empty value removes the header that libcurl adds by itself. */
   call->headers = curl_slist_append (call->headers, "Expect:");
   if (!order->headers || !http_headers_get (order->headers, "Accept"))
     call->headers = curl_slist_append (call->headers, "Accept:");
--- a/io/src/http-framing.c
+++ b/io/src/http-framing.c
@@ -15,7 +15,7 @@
   return count;
 }
 
-/* Whether a text is a token (RFC 9110, section 5.6.2). */
+/* Returns whether a text is a token (RFC 9110, section 5.6.2). */
 static gboolean
 is_token (const char *text)
 {
@@ -27,7 +27,7 @@
   return TRUE;
 }
 
-/* Whether a value holds a control character other than a tab. */
+/* Returns whether a value holds a control character other than a tab. */
 static gboolean
 has_control (const char *value)
 {
@@ -37,9 +37,9 @@
   return FALSE;
 }
 
-/* Why a request's header lines cannot be trusted, or NULL. A blank before the colon makes
-   another name of a length's: the body would be read as the next request (RFC 9112,
-   section 5.1). */
+/* Returns why a name or a value is malformed, or NULL. With a blank before its colon,
+   Content-Length would be read as another header's name, and the body as the next request
+   (RFC 9112, section 5.1). */
 static const char *
 header_fault (const GArray *headers)
 {
--- a/io/src/http-gone.c
+++ b/io/src/http-gone.c
@@ -2,11 +2,12 @@
 
 #include <poll.h>
 
-/* How soon a caller's hang-up is noticed at the latest: a quarter of the half second
-   after which work for nobody counts as waste at the users' platform. */
+/* Longest time until a closed connection is noticed: a quarter of the half second after
+   which the users' platform counts work for an absent caller as waste. */
 #define GONE_CHECK_US (125 * MS_US)
 
-/* Tells of those whose callers have hung up; each is told of once. */
+/* Calls the functions of the requests whose callers have closed their connections, once
+   each. */
 static void
 tell_gone (HttpServer *server, GPtrArray *requests, const GArray *polls)
 {
@@ -23,9 +24,9 @@
 }
 
 /*
- * libmicrohttpd does not look at a connection while its request is being worked on. One
- * poll for all of them now and then does; unlike a watch in the loop it sees a hang-up
- * behind requests that wait unread.
+ * libmicrohttpd does not watch a connection while its request is suspended, so one poll
+ * for all such connections runs at intervals. Unlike a watch in the loop, POLLRDHUP also
+ * reports a connection that was closed behind further unread requests.
  */
 void
 http_gone_check (gpointer data)
--- a/io/src/http-server-private.h
+++ b/io/src/http-server-private.h
@@ -1,6 +1,7 @@
 /*
- * What the files of the HTTP server share: http-server.c its life and the reading of
- * requests, http-request.c one request and its answer, http-gone.c callers who hang up.
+ * Internals of the HTTP server. http-server.c creates the server and reads requests,
+ * http-request.c and http-answer.c handle a request and its answer, and http-gone.c
+ * detects callers that close their connections.
  */
 #ifndef IO_HTTP_SERVER_PRIVATE_H
 #define IO_HTTP_SERVER_PRIVATE_H
@@ -9,16 +10,16 @@
 
 #include <microhttpd.h>
 
-/* One connection of a caller; kept by libmicrohttpd as its socket context. */
+/* A caller's connection; libmicrohttpd keeps it as the socket context. */
 typedef struct
 {
   HttpServer *server;
   int fd;
   gint64 reading_since_us; /* 0 while no request is being read */
   gint64 idle_since_us;    /* 0 while there is a request */
-  gint64 taking_since_us;  /* when the caller last took some of its answer; 0 for none */
-  gsize answer_left;       /* bytes that it has not taken */
-  gboolean refused;        /* told that nothing ran: nothing that still comes may run */
+  gint64 taking_since_us;  /* when the caller last read part of its answer; 0 for none */
+  gsize answer_left;       /* bytes of the answer that it has not read */
+  gboolean refused;        /* answered as not run: its request must not run any more */
 } Conn;
 
 struct HttpServer
@@ -29,7 +30,7 @@
   LoopFd *watch;
   LoopTimer *sweep;
   LoopTimer *gone_check;
-  GHashTable *watched; /* set of HttpRequest whose callers may hang up */
+  GHashTable *watched; /* set of HttpRequest with a function for a closed connection */
   gboolean closing;
   HttpLimits limits;
   HttpHandler handler;
@@ -55,9 +56,9 @@
   char *path;
   GArray *headers;
   GByteArray *body;
-  gsize held; /* bytes counted for it */
+  gsize held; /* bytes counted for the request */
   gboolean handled;
-  gint64 taken_us; /* when it was handled */
+  gint64 taken_us; /* when the handler was called */
   gboolean suspended;
   gboolean dropped;
   HttpGoneFunc gone;
@@ -66,13 +67,14 @@
   struct MHD_Response *response;
 };
 
-/* Counts bytes that are held for a request, until it has ended. */
+/* Adds to the bytes that are held for a request until it ends. */
 void http_request_hold (HttpRequest *request, gsize bytes);
 
-/* A response whose bytes the connection takes piece by piece; it keeps the body. */
+/* Returns a response that passes the body to the connection in chunks and keeps a
+   reference to it. */
 struct MHD_Response *http_answer_response (HttpRequest *request, GBytes *body);
 
-/* Looks for hang-ups while anybody wants to know of them; for the server's timer. */
+/* Timer function that detects closed connections; runs while requests are watched. */
 void http_gone_check (gpointer data);
 
 #endif
--- a/io/src/http-server.c
+++ b/io/src/http-server.c
@@ -9,7 +9,7 @@
 #include <io/socket.h>
 
 #define SWEEP_US (SECOND_US / 4)
-/* When there may be room again. */
+/* Suggested delay for callers refused because of `held_max`. */
 #define FULL_RETRY_AFTER_S "1"
 #define SLOW_ANSWER                                                                      \
   "HTTP/1.1 408 Request Timeout\r\nSwitchmill-Outcome: not-run\r\n"                      \
@@ -31,7 +31,7 @@
   return info ? info->socket_context : NULL;
 }
 
-/* Keeps the raw target, which libmicrohttpd hands out before it decodes it. */
+/* Keeps the raw target, which libmicrohttpd passes on before it decodes it. */
 static void *
 on_uri (void *data, const char *uri, struct MHD_Connection *connection)
 {
@@ -78,7 +78,7 @@
   request->server->held += bytes;
 }
 
-/* Whether so many bytes more are over what the server may hold for all requests. */
+/* Returns whether `bytes` more would exceed the bytes held for all requests. */
 static gboolean
 is_full (const HttpServer *server, guint64 bytes)
 {
@@ -157,8 +157,7 @@
   if (*upload_size > 0)
     {
       if (request->body->len + *upload_size > server->limits.body_max)
-        return MHD_NO; /* a chunked body over the bound: nothing can be answered any more
-                        */
+        return MHD_NO; /* a chunked body exceeds the bound; no answer is possible here */
       g_byte_array_append (request->body, (const guint8 *)upload, (guint)*upload_size);
       http_request_hold (request, *upload_size);
       *upload_size = 0;
@@ -240,14 +239,15 @@
   *context = conn;
 }
 
-/* The whole request may lie in the socket's buffer by now: it must not run any more. */
+/* Answers with status 408 and closes the connection. The rest of the request may already
+   be in the socket's buffer, so `refused` keeps it from running. */
 static void
 refuse_slow (Conn *conn)
 {
   conn->refused = TRUE;
   conn->reading_since_us = 0;
   if (send (conn->fd, SLOW_ANSWER, strlen (SLOW_ANSWER), MSG_NOSIGNAL | MSG_DONTWAIT) < 0)
-    g_debug ("a slow caller had gone already");
+    g_debug ("caller closed its connection before the 408 answer");
   shutdown (conn->fd, SHUT_RDWR);
 }
 
@@ -260,7 +260,7 @@
          now - conn->taking_since_us > stall_us;
 }
 
-/* It costs what the connection holds, and no longer than this. */
+/* Closes a stalled connection, which frees the memory held for its answer. */
 static void
 let_go (Conn *conn)
 {
@@ -273,8 +273,9 @@
 }
 
 /*
- * libmicrohttpd's own time-out counts from the last byte, so that a caller who sends
- * one byte now and then would hold a connection for ever. This one counts from the start.
+ * Closes connections that exceed the time limits. libmicrohttpd's own time-out counts
+ * from the last byte, so a caller that sends a byte now and then would hold a connection
+ * for ever. The limit for reading a request counts from its start.
  */
 static void
 on_sweep (gpointer data)
@@ -314,7 +315,7 @@
   HttpServer *server = data;
   MHD_UNSIGNED_LONG_LONG wait_ms;
 
-  /* libmicrohttpd 0.9.75 does not count a resumed connection in its time-out. */
+  /* MHD_get_timeout of libmicrohttpd 0.9.75 ignores resumed connections. */
   if (server->woken ||
       (MHD_get_timeout (server->daemon, &wait_ms) == MHD_YES && wait_ms == 0))
     {
--- a/io/src/loop.c
+++ b/io/src/loop.c
@@ -4,7 +4,7 @@
 #include <apr_poll.h>
 #include <apr_portable.h>
 
-/* How many ready descriptors one wait may report. */
+/* Most ready descriptors that one wait reports. */
 #define POLLSET_SIZE 4096
 
 struct LoopFd
@@ -41,9 +41,9 @@
   apr_pollset_t *pollset;
   GSequence *timers;
   GArray *prepares;
-  GPtrArray *dead; /* watches destroyed while events are handed out */
+  GPtrArray *dead; /* watches destroyed since the last wait, freed after dispatch */
   gboolean quit;
-  LoopTurnFunc turn_func; /* NULL for nobody */
+  LoopTurnFunc turn_func; /* NULL for none */
   gpointer turn_data;
   gint64 turn_began_us;
   gint64 turn_began_cpu_us;
@@ -135,8 +135,8 @@
     {
       LoopTimer *timer = g_sequence_get (first);
 
-      /* Read once: MAX would read the clock twice, and what was left could turn negative,
-         which the pollset takes for a wait without end. */
+      /* MAX evaluates its argument twice. With a clock reading in it, the result could be
+         negative, which the pollset takes for an endless wait. */
       gint64 left = timer->due_us - clock_now (loop->clock);
 
       wait = MAX (0, left);
@@ -149,8 +149,8 @@
       if (own >= 0 && (wait < 0 || own < wait))
         wait = own;
     }
-  /* The pollset cuts to whole milliseconds: cut short, the last one would be a busy wait.
-   */
+  /* Round up: the pollset truncates to milliseconds, and the loop would spin through the
+     last one. */
   return wait > 0 ? (wait + MS_US - 1) / MS_US * MS_US : wait;
 }
 
@@ -179,7 +179,7 @@
     loop->turn_began_us = clock_now (loop->clock);
 }
 
-/* Waiting uses no processor time, so one reading ends this turn and begins the next. */
+/* Waiting uses no processor time, so one reading ends this turn and starts the next. */
 static void
 end_turn (Loop *loop)
 {
--- a/io/src/rpc-peer.c
+++ b/io/src/rpc-peer.c
@@ -11,7 +11,7 @@
   RpcDoneFunc done;
   gpointer data;
   LoopTimer *timer;
-  RpcOutcome outcome; /* for a call that has failed and waits to say so */
+  RpcOutcome outcome; /* passed to `done` when the timer fires */
 } Call;
 
 struct RpcPeer
@@ -45,7 +45,8 @@
   call_finish (call, call->outcome, NULL);
 }
 
-/* Lets the call fail from the loop, so that no owner is called back from its own call. */
+/* Fails the call from the loop, so that `done` is never called from within a function
+   that its owner has called. */
 static void
 call_fail_soon (Call *call, RpcOutcome outcome)
 {
@@ -113,7 +114,7 @@
     return;
   call = g_hash_table_lookup (peer->calls, GUINT_TO_POINTER (xid));
   if (!call)
-    return; /* an answer that came after its call was given up */
+    return; /* the answer to a call that has timed out */
   result = g_malloc0 (call->procedure->result_size);
   reply = wire_reply_decode (record->data, record->len, call->procedure->result, result);
   if (reply == WIRE_REPLY_OK)
--- a/io/src/rpc-server.c
+++ b/io/src/rpc-server.c
@@ -6,9 +6,9 @@
 #include <io/socket.h>
 #include "stream.h"
 
-/* How often idle connections are looked for. */
+/* Interval of the search for idle connections. */
 #define SWEEP_US (5 * SECOND_US)
-/* What a peer may send before it has proved who it is. */
+/* Longest record from a peer that is not authenticated, in bytes. */
 #define STRANGER_RECORD_MAX 65536u
 
 struct RpcConn
--- a/io/src/socket.c
+++ b/io/src/socket.c
@@ -47,7 +47,7 @@
   if (!socket_address_parse (text, &address))
     {
       g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT,
-                   "%s is not an IP number and a port", text);
+                   "%s is not an IPv4 address with a port", text);
       return -1;
     }
   fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
--- a/io/src/stream.c
+++ b/io/src/stream.c
@@ -9,7 +9,7 @@
 #include <wire/record.h>
 
 #define READ_CHUNK 65536u
-/* Buffers larger than this are given back once empty. */
+/* Output buffers above this size are freed once they are empty. */
 #define KEEP_BUFFER 65536u
 
 struct Stream
@@ -19,7 +19,7 @@
   LoopFd *watch;
   LoopTimer *fail;
   gboolean connecting;
-  gboolean *gone; /* set by stream_destroy while records are handed out */
+  gboolean *gone; /* set by stream_destroy during hand_out_records, else NULL */
   GByteArray *in;
   GByteArray *out;
   guint out_at;
@@ -85,7 +85,7 @@
   update_watch (stream);
 }
 
-/* FALSE when the stream has been destroyed by its owner, or cannot go on. */
+/* Returns FALSE if the owner has destroyed the stream, or if a record was invalid. */
 static gboolean
 hand_out_records (Stream *stream)
 {
--- a/io/src/stream.h
+++ b/io/src/stream.h
@@ -1,5 +1,5 @@
 /*
- * A TCP stream of RPC records, for both ends of a connection.
+ * A TCP stream of RPC records, used by the RPC server and by its clients.
  */
 #ifndef IO_STREAM_H
 #define IO_STREAM_H
@@ -8,15 +8,16 @@
 
 typedef struct Stream Stream;
 
-/* What the owner is told. `closed` runs at most once; the owner then destroys. */
+/* Functions of the owner. `closed` is called at most once, and the owner then destroys
+   the stream. */
 typedef struct
 {
   void (*record) (GByteArray *record, gpointer data);
-  void (*opened) (gpointer data); /* for a connecting stream */
+  void (*opened) (gpointer data); /* a connecting stream is connected */
   void (*closed) (gpointer data);
 } StreamEvents;
 
-/* Takes over `fd`. `connecting` when its connect has not been decided. */
+/* Takes ownership of `fd`. `connecting` says that its connect is still in progress. */
 Stream *stream_create (
     Loop *loop, int fd, gboolean connecting, const StreamEvents *events, gpointer data);
 void stream_destroy (Stream *stream);
@@ -24,10 +25,10 @@
 /* Queues one message as a record. */
 void stream_send (Stream *stream, const GByteArray *message);
 
-/* Tells `closed` from the loop, not from inside a send. */
+/* Fails the stream: `closed` is called from the loop, not from within this function. */
 void stream_fail (Stream *stream);
 
-/* Bounds what the other side may send as one record, in bytes. */
+/* Bounds the records that the other side may send, in bytes. */
 void stream_set_record_max (Stream *stream, gsize max);
 
 void stream_bytes (const Stream *stream, guint64 *sent, guint64 *received);
--- a/io/src/worker.c
+++ b/io/src/worker.c
@@ -7,20 +7,20 @@
 typedef struct
 {
   gpointer job;
-  WorkerRun run; /* NULL once it has run, and for the order to end */
+  WorkerRun run; /* NULL after it has run, and in the task that stops the thread */
   GDestroyNotify free_job;
   WorkerDone done;
   gpointer data;
-  gboolean last; /* the order to end */
+  gboolean last; /* stops the thread */
 } Task;
 
 struct Worker
 {
   Loop *loop;
   GThread *thread;   /* NULL before the first job */
-  GAsyncQueue *todo; /* of Task: to be run, or to be freed */
-  GAsyncQueue *over; /* of Task: they have run */
-  int wake[2];       /* a pipe: a byte for each task that is over */
+  GAsyncQueue *todo; /* of Task: to run, or to free if they have run */
+  GAsyncQueue *over; /* of Task: have run */
+  int wake[2];       /* a pipe, with a byte for each task in `over` */
   LoopFd *watch;
 };
 
@@ -34,7 +34,7 @@
   g_free (task);
 }
 
-/* A full pipe needs no further byte: the loop is woken by those that are in it. */
+/* A failed write to a full pipe is ignored: the bytes in it wake the loop. */
 static void
 wake_loop (const Worker *worker)
 {
@@ -82,7 +82,7 @@
   while ((task = g_async_queue_try_pop (worker->over)))
     {
       task->done (task->job, task->data);
-      /* Freeing a large job takes long too. */
+      /* The thread frees the job, because freeing a large job takes long too. */
       g_async_queue_push (worker->todo, task);
     }
 }
@@ -96,7 +96,7 @@
   if (pipe2 (worker->wake, O_CLOEXEC | O_NONBLOCK) != 0)
     {
       g_set_error (error, G_FILE_ERROR, g_file_error_from_errno (errno),
-                   "no pipe for the worker: %s", g_strerror (errno));
+                   "cannot create a pipe for the worker: %s", g_strerror (errno));
       g_free (worker);
       return NULL;
     }
@@ -106,7 +106,7 @@
   return worker;
 }
 
-/* What waits is dropped, so that the order to end comes next. */
+/* Frees the waiting tasks, so that the thread stops after the one that is running. */
 static void
 end_thread (Worker *worker)
 {
