--- a/io/tests/test-loop.c
+++ b/io/tests/test-loop.c
@@ -1,4 +1,4 @@
-/* The loop on a clock of the test's: timers fire in order, none is lost. */
+/* Timers fire in order and none is lost, on a manual clock; long turns are reported. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -92,7 +92,7 @@
   clock_destroy (clock);
 }
 
-/* What one turn does, and what is told of it. */
+/* The cost of one turn, and the report of it. */
 typedef struct
 {
   Fixture base;
@@ -127,14 +127,14 @@
     loop_timer_start (turns->base.timer, 0);
 }
 
-/* One turn that costs so much, and one that costs nothing. */
+/* Runs one turn with the given cost, and one without any. */
 static Turns
 run_turns (gint64 cpu_us, gint64 took_us)
 {
   Turns turns = { .cpu_us = cpu_us, .took_us = took_us };
 
   turns.base.clock = clock_create_manual (0);
-  clock_set_step (turns.base.clock, 1); /* the second is due after the first turn */
+  clock_set_step (turns.base.clock, 1); /* the second timer is due after the first turn */
   turns.base.loop = loop_create (turns.base.clock);
   turns.base.timer = loop_timer_create (turns.base.loop, on_work, &turns);
   loop_set_turn_func (turns.base.loop, on_turn, &turns);
--- a/io/tests/test-slow-readers.c
+++ b/io/tests/test-slow-readers.c
@@ -1,6 +1,6 @@
 /*
- * Callers that do not read their answers. 300 of them that ask for 500 KB each held 150
- * MB at one node for as long as they liked, of the 160 MB that it has.
+ * Callers that do not read their answers. Without a bound, 300 of them with answers of
+ * 500 KB each held 150 MB of a node's 160 MB without a time limit.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,11 +16,11 @@
 
 #define ADDRESS "127.0.0.1:7990"
 #define READERS 300u
-/* More than this machine's sockets take in by themselves, 4 MB. */
+/* More than the 4 MB that the sockets of the test machine buffer. */
 #define ANSWER_BYTES (8u * 1024 * 1024)
 #define HELD_MAX (12 * ANSWER_BYTES)
 #define STALL_US (500 * MS_US)
-/* Closed by then: the time of a stall, and two sweeps. */
+/* Stalled connections are closed by then: the stall time and two sweeps. */
 #define CLOSED_US (4 * STALL_US)
 #define PAUSE_US 10000
 #define BUFFER 65536
@@ -72,7 +72,8 @@
   return fd;
 }
 
-/* Reads to the end of what there is; whether it began with that status. */
+/* Reads to the end of the answer and returns its length; `refused` says whether it began
+   with status 503. */
 static gsize
 read_all (int fd, gboolean *refused)
 {
@@ -96,7 +97,7 @@
 {
   guint refused;
   guint cut;
-  gsize last; /* bytes that a caller who reads is given in the end */
+  gsize last; /* bytes that a caller that reads receives afterwards */
 } Seen;
 
 static gpointer
@@ -154,12 +155,12 @@
   thread = g_thread_new ("callers", callers, &fixture);
   loop_run (fixture.loop);
   seen = g_thread_join (thread);
-  /* No more are held than fit, and one more; the others are refused at once. */
+  /* One answer more than fits is held at most; the other callers are refused at once. */
   assert_in_range (seen->cut, 1, HELD_MAX / ANSWER_BYTES + 1);
   assert_int_equal (seen->refused, READERS - seen->cut);
   assert_int_equal (fixture.full, seen->refused);
   assert_int_equal (fixture.let_go, seen->cut);
-  /* They are let go, and there is room again. */
+  /* The stalled connections have been closed, and there is room again. */
   assert_true (seen->last > ANSWER_BYTES);
   assert_int_equal (http_server_active (fixture.server), 0);
   http_server_destroy (fixture.server);
--- a/io/tests/test-worker.c
+++ b/io/tests/test-worker.c
@@ -1,4 +1,4 @@
-/* Work beside the loop: order, threads, and what becomes of it at the end. */
+/* Jobs on the worker's thread: their order, their threads, and unfinished jobs. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,7 +14,7 @@
   Loop *loop;
   Worker *worker;
   GThread *loop_thread;
-  GString *done; /* the jobs that are done, by number */
+  GString *done; /* the numbers of the jobs that are done */
 } Fixture;
 
 typedef struct
@@ -102,7 +102,7 @@
   teardown (&fixture);
 }
 
-/* Who asked may be gone by then. */
+/* The owner of a job may no longer exist when the worker is destroyed. */
 static void
 test_what_is_not_done_at_the_end_is_freed_and_not_told (void **state)
 {
