--- a/wire/include/wire/convert.h
+++ b/wire/include/wire/convert.h
@@ -1,15 +1,17 @@
 /*
- * Between the wire's structs and single values: packing, and borrowed copies.
+ * Conversion of XDR structs to byte strings and back.
  */
 #ifndef WIRE_CONVERT_H
 #define WIRE_CONVERT_H
 
 #include <wire/message.h>
 
-/* A struct as its XDR bytes; NULL when it does not encode. */
+/* Returns a struct as its XDR encoding, or NULL if it does not encode. The caller unrefs
+   the bytes. */
 GBytes *wire_pack (xdrproc_t proc, void *value);
 
-/* The reverse, into a zeroed struct; FALSE when the bytes are something else. */
+/* Decodes XDR bytes into a zeroed struct, which the caller frees with xdr_free. Returns
+   FALSE, with nothing to free, if they do not decode. */
 gboolean wire_unpack (xdrproc_t proc, GBytes *bytes, void *value);
 
 #endif
--- a/wire/include/wire/record.h
+++ b/wire/include/wire/record.h
@@ -8,17 +8,17 @@
 
 typedef enum
 {
-  RECORD_MORE,  /* no whole record yet */
-  RECORD_READY, /* one record has been taken */
-  RECORD_BAD    /* longer than allowed: the stream cannot go on */
+  RECORD_MORE,  /* the record is not complete yet */
+  RECORD_READY, /* a record has been moved to `message` */
+  RECORD_BAD    /* the record is too long or malformed: the stream must be closed */
 } RecordState;
 
 /* Appends `message` to `out` as one record of a single fragment. */
 void record_append (GByteArray *out, const GByteArray *message);
 
 /*
- * Takes the first whole record from the front of `in` into `message`, joining
- * fragments. `max` bounds the record in bytes.
+ * Moves the first record from the start of `in` to `message` and joins its fragments.
+ * `max` bounds the record in bytes. `in` stays unchanged unless RECORD_READY is returned.
  */
 RecordState record_take (GByteArray *in, gsize max, GByteArray *message);
 
--- a/wire/src/message.c
+++ b/wire/src/message.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Room for a header without credentials. */
+/* Bound of a header without credentials, in bytes. */
 #define HEADER_MAX 128u
 
 static GByteArray *
--- a/wire/src/record.c
+++ b/wire/src/record.c
@@ -36,7 +36,7 @@
       len = mark & ~LAST_FRAGMENT;
       last = (mark & LAST_FRAGMENT) != 0;
       total += len;
-      /* An empty fragment that is not the last would let a peer spin us for nothing. */
+      /* With empty fragments before the last, a peer could keep this loop busy. */
       if (total > max || (len == 0 && !last))
         return RECORD_BAD;
       if (in->len - at - MARK_SIZE < len)
--- a/wire/switchmill.x
+++ b/wire/switchmill.x
@@ -1,8 +1,8 @@
 /*
  * Messages between the nodes of a fleet (ONC RPC, RFC 5531; XDR, RFC 4506).
  *
- * Times: *_us are microseconds of the clock of the node that the field names,
- * *_ms are spans in milliseconds. No field holds a wall-clock time.
+ * Times: *_us are microseconds, of a node's own clock or of a span as the field says; *_ms
+ * are spans in milliseconds. No field holds a wall-clock time.
  */
 
 const SW_NAME_MAX = 64;
@@ -22,7 +22,8 @@
 const SW_EVACUATED_MAX = 16;
 const SW_NEVER = 4294967295;
 
-/* One try at a request: unique for ever, for a node never reuses an incarnation. */
+/* One attempt at a request. It is unique for ever, because a node never reuses an
+   incarnation. */
 struct sw_attempt {
   string node<SW_NAME_MAX>;
   unsigned hyper incarnation;
@@ -34,33 +35,34 @@
   string value<SW_TEXT_MAX>;
 };
 
-/* What a sidecar says of one of its targets, in each answer and in gossip. */
+/* A sidecar's state of one of its targets, sent in the answers to SW_HELLO, SW_SUBMIT and
+   SW_FENCE. */
 struct sw_target_state {
   string target<SW_NAME_MAX>;
-  unsigned int serial;        /* rises with each change, within one incarnation */
+  unsigned int serial;        /* rises with each change during one incarnation */
   unsigned int in_use;
   unsigned int limit;
   unsigned int queued;
-  unsigned int latency_us;    /* recent mean of the target's own answers */
-  unsigned int failures_ppm;  /* recent failures in a million */
-  unsigned int samples;       /* how many answers the two figures rest on */
+  unsigned int latency_us;    /* recent mean time of the target's answers */
+  unsigned int failures_ppm;  /* recent failures per million answers */
+  unsigned int samples;       /* number of answers behind these two figures */
   unsigned int severity;      /* 0 healthy; higher is worse */
-  bool slow;                  /* sick by slowness alone: what it answers is good */
+  bool slow;                  /* sick only because it is slow: its answers are good */
   bool draining;
-  bool shedding;              /* it has turned work away though it had free slots */
-  bool abrupt;                /* sick, and it breaks off at once what it is sent */
+  bool shedding;              /* it has refused requests although it had free slots */
+  bool abrupt;                /* sick, and it breaks off requests at once */
 };
 
-/* The sidecar's clock and incarnation at the moment of the answer. */
+/* The sidecar's clock and incarnation at the time of the answer. */
 struct sw_stamp {
   string node<SW_NAME_MAX>;
   unsigned hyper incarnation;
   unsigned hyper clock_us;
 };
 
-/* What gossip tells of a target that is not, or was not always, simply well. */
+/* The gossip about a target that is not healthy, or has not always been healthy. */
 struct sw_verdict {
-  unsigned int serial;        /* of the target's state when this was said */
+  unsigned int serial;        /* of the target's state at the time of the verdict */
   unsigned int severity;
   unsigned int flags;         /* SW_VERDICT_* */
 };
@@ -71,7 +73,7 @@
 
 typedef string sw_target_name<SW_NAME_MAX>;
 
-/* A target that has registered itself at the node beside it. */
+/* A target that has registered itself with its node. */
 struct sw_registration {
   string target<SW_NAME_MAX>;
   string service<SW_NAME_MAX>;
@@ -80,41 +82,41 @@
 };
 
 /*
- * The payload of a rumour, which seldom changes: the targets that the state's verdicts are
- * on, in their order, and the targets that registered themselves, at most one of them
- * serving.
+ * The payload of a rumour, which seldom changes: the targets of the state's verdicts, in the
+ * order of the verdicts, and the targets that have registered themselves, of which at most
+ * one is serving.
  */
 struct sw_member_payload {
   sw_target_name targets<SW_VERDICTS_MAX>;
   sw_registration registrations<SW_REGISTRATIONS_MAX>;
 };
 
-/* The state of a rumour, which changes as targets fall sick and recover. */
+/* The state of a rumour, which changes when targets become sick and recover. */
 struct sw_member_state {
   sw_verdict verdicts<SW_VERDICTS_MAX>;
 };
 
 /*
- * One member as gossip tells it. A higher epoch wins, then a higher status, then a
- * higher serial; only the member itself raises its epoch and its serial.
+ * Gossip about one member. A higher epoch supersedes a lower one, then a higher status, then
+ * a higher serial. Only the member itself raises its epoch and its serial.
  */
 struct sw_rumour {
   string node<SW_NAME_MAX>;
   string hall<SW_NAME_MAX>;
-  string address<SW_NAME_MAX>;  /* IP number and RPC port */
+  string address<SW_NAME_MAX>;  /* IP address and RPC port */
   unsigned hyper incarnation;   /* random, new with each start */
   unsigned int epoch;
   unsigned int status;
   unsigned int serial;
-  unsigned int payload_serial;  /* the serial that the payload came with */
+  unsigned int payload_serial;  /* the serial at which the payload last changed */
   opaque payload<SW_PAYLOAD_MAX>;
   opaque state<SW_STATE_MAX>;
 };
 
-/* A rumour for those who know the member: its name, addresses and payload left out. */
+/* A rumour for nodes that know the member, without its name, hall, address and payload. */
 struct sw_brief {
-  unsigned int id;              /* a hash of the name */
-  unsigned int incarnation;     /* the low half */
+  unsigned int id;              /* a hash of the node's name */
+  unsigned int incarnation;     /* its low 32 bits */
   unsigned int epoch;
   unsigned int status;
   unsigned int serial;
@@ -122,7 +124,7 @@
   opaque state<SW_STATE_MAX>;
 };
 
-/* Opens a connection: who calls, as gossip would tell it. */
+/* The first call of a connection: the caller, as in gossip, and the fleet's token. */
 struct sw_hello_args {
   sw_rumour from;
   string token<256>;
@@ -134,33 +136,33 @@
   sw_target_state states<SW_STATES_MAX>;
 };
 
-/* A request may be sent whole, or only once a slot is held for it. */
+/* A request is sent at once, or only after a slot has been reserved for it. */
 enum sw_phase {
-  SW_WHOLE = 0,       /* the request */
-  SW_ASK = 1,         /* whether a slot can be held: without headers and body */
-  SW_HELD_SUBMIT = 2  /* the request that a slot is held for */
+  SW_WHOLE = 0,       /* the whole request */
+  SW_ASK = 1,         /* asks for a slot to be reserved; without headers and body */
+  SW_HELD_SUBMIT = 2  /* the request for which a slot is reserved */
 };
 
 struct sw_submit_args {
   sw_attempt attempt;
-  unsigned hyper sidecar;      /* the incarnation addressed */
-  unsigned hyper clock_us;     /* the sidecar's clock as the sender last saw it */
+  unsigned hyper sidecar;      /* the incarnation of the sidecar that is addressed */
+  unsigned hyper clock_us;     /* the sidecar's clock as last seen by the sender */
   string target<SW_NAME_MAX>;
   string tenant<SW_NAME_MAX>;
   sw_phase phase;
   unsigned int remaining_ms;
   unsigned int priority;       /* 0 first */
   bool repeatable;
-  unsigned int retry;          /* what it is to the retry budget, as retry.h numbers it */
-  bool even_sick;              /* the ingress knows that the target is held sick */
-  bool may_queue;              /* else it is refused where it could not start at once */
-  unsigned int wait_ms;        /* it had better be refused than wait longer; 0 for no such bound */
-  unsigned int slack_ms;       /* it may wait so long and be answered within its objective */
-  bool trial;                  /* and sends this only to learn whether it still is */
-  bool proved_only;            /* it is refused unless the target has lately kept what it was sent */
+  unsigned int retry;          /* its kind for the retry budget, numbered as in retry.h */
+  bool even_sick;              /* the ingress knows that the target counts as sick */
+  bool may_queue;              /* if not set, it is refused unless it can start at once */
+  unsigned int wait_ms;        /* it is refused rather than wait longer; 0 for no bound */
+  unsigned int slack_ms;       /* wait that still allows an answer within its objective */
+  bool trial;                  /* sent only to learn whether the target is still sick */
+  bool proved_only;            /* refused unless the target lately kept a request; see proof.h */
   unsigned int route;          /* a hash of the route's class */
-  unsigned int sibling_fit;    /* of its answers at the service's targets, as latency.h packs */
-  unsigned int sibling_failures_ppm; /* their median; 0 for not known */
+  unsigned int sibling_fit;    /* the route's fit at the service's targets, packed as in latency.h */
+  unsigned int sibling_failures_ppm; /* median of their failures; 0 for unknown */
   string method<32>;
   string path<SW_TEXT_MAX>;
   sw_header headers<SW_HEADERS_MAX>;
@@ -168,12 +170,12 @@
 };
 
 enum sw_result {
-  SW_DONE = 0,        /* the target's whole answer */
-  SW_REFUSED = 1,     /* proof that nothing ran, and that nothing will */
-  SW_FAILED = 2,      /* sent to the target, without a whole answer */
-  SW_STARTED = 3,     /* fence only: running still */
-  SW_UNKNOWN = 4,     /* fence only: too old to tell, or no room to record */
-  SW_HELD = 5         /* to SW_ASK only: a slot is held for a moment */
+  SW_DONE = 0,        /* the target's complete answer */
+  SW_REFUSED = 1,     /* proof that the request did not run and will not run */
+  SW_FAILED = 2,      /* sent to the target, without a complete answer */
+  SW_STARTED = 3,     /* fence only: still running */
+  SW_UNKNOWN = 4,     /* fence only: too old to be known, or the table is full */
+  SW_HELD = 5         /* answer to SW_ASK only: a slot is reserved for a short time */
 };
 
 enum sw_reason {
@@ -208,12 +210,12 @@
 };
 
 struct sw_submit_res {
-  sw_attempt attempt;          /* echoed; one that differs is dropped */
+  sw_attempt attempt;          /* echoed; an answer with another attempt is dropped */
   sw_result result;
   sw_reason reason;
   unsigned int retry_after_ms;
-  unsigned int target_us;      /* time the target took */
-  unsigned int route_fit;      /* of the route's answers there, as latency.h packs; 0 for none */
+  unsigned int target_us;      /* time that the target took */
+  unsigned int route_fit;      /* the route's fit at this target, packed as in latency.h; 0 for none */
   sw_answer answer;
   sw_stamp stamp;
   sw_target_state state;
@@ -224,24 +226,24 @@
   unsigned hyper sidecar;
   unsigned hyper clock_us;
   string target<SW_NAME_MAX>;
-  unsigned int wait_ms;        /* how long the answer may be held while it runs */
+  unsigned int wait_ms;        /* how long the answer may be delayed while the attempt runs */
 };
 
-/* A target's end under a request; its number is random, made where it was seen. */
+/* A crash of a target under a request. The node that saw it chose a random id. */
 struct sw_target_end {
   unsigned int id;
   unsigned int age_ms;
 };
 
-/* What is known of a request that targets have ended under, as quarantine.h has it. */
+/* An entry for a request under which targets have crashed; see quarantine.h. */
 struct sw_quarantine {
-  unsigned hyper head;          /* its fingerprint */
+  unsigned hyper head;          /* the halves of its fingerprint; see fingerprint.h */
   unsigned hyper body;
   unsigned int service;         /* hashes */
-  unsigned int software;        /* a hash of the version that ended last */
+  unsigned int software;        /* a hash of the version that crashed last */
   unsigned int epoch;
-  unsigned int cleared_age_ms;  /* SW_NEVER for not */
-  unsigned int held_age_ms;     /* likewise */
+  unsigned int cleared_age_ms;  /* SW_NEVER if it has not been cleared */
+  unsigned int held_age_ms;     /* SW_NEVER if it is not quarantined */
   unsigned int turn;
   unsigned int trials;
   int due_in_ms;
@@ -250,11 +252,11 @@
 
 typedef string sw_hall_name<SW_NAME_MAX>;
 
-/* The data halls that are evacuated, read from the store at one moment: its era, then its
-   revision. The newer of two replaces the older as a whole. */
+/* The data halls that are evacuated, as read from the store at one time. Readings are
+   ordered by era, then by revision, and a newer one replaces an older one as a whole. */
 struct sw_evacuations {
   unsigned hyper era;
-  unsigned hyper revision;      /* 0 for not known */
+  unsigned hyper revision;      /* 0 for unknown */
   sw_hall_name halls<SW_EVACUATED_MAX>;
 };
 
@@ -264,16 +266,16 @@
   string from<SW_NAME_MAX>;
   unsigned hyper generation;    /* of the configuration in force at the sender */
   unsigned hyper digest;        /* of the sender's view of members */
-  string subject<SW_NAME_MAX>;  /* for SW_PROBE_VIA: whom to probe */
+  string subject<SW_NAME_MAX>;  /* for SW_PROBE_VIA: the node to probe */
   sw_rumour rumours<SW_RUMOURS_MAX>;
   sw_brief briefs<SW_RUMOURS_MAX>;
   unsigned int quarantine_digest; /* of the sender's list; 0 for an empty one */
   sw_quarantine quarantine<SW_QUARANTINE_MAX>;
   sw_evacuations evacuations;
-  unsigned hyper store_era;     /* of the platform's store; 0 for not known */
+  unsigned hyper store_era;     /* of the platform's store; 0 for unknown */
 };
 
-/* An attempt that nobody waits for any more. */
+/* Cancels an attempt whose answer is no longer wanted. */
 struct sw_cancel_args {
   sw_attempt attempt;
   unsigned hyper sidecar;
@@ -293,25 +295,25 @@
 
 struct sw_part_res {
   bool found;
-  opaque part<1048576>;        /* packed */
+  opaque part<1048576>;        /* compressed as in pack.h */
 };
 
-/* How many requests of an account a node wants to let through beyond what it has. */
+/* A node's question for more requests of an account's allowance. */
 struct sw_allow_args {
   string account<SW_NAME_MAX>;
   unsigned int wanted;
-  unsigned hyper generation;   /* of the configuration that the terms are from */
+  unsigned hyper generation;   /* of the configuration with these terms */
   unsigned int per_s_milli;    /* the account's allowance, in thousandths of a request */
   unsigned int burst_milli;
 };
 
 struct sw_allow_res {
-  bool lender;                 /* the node lends for this account, as far as it knows */
+  bool lender;                 /* the node is a lender for this account, by its own view */
   unsigned int lent;
-  unsigned int retry_after_ms; /* when to ask again, if less than wanted was lent */
+  unsigned int retry_after_ms; /* when to ask again, if fewer than wanted were lent */
 };
 
-/* A comparison of views: one digest for each bucket of members. */
+/* A comparison of member views, with one digest for each bucket of members. */
 struct sw_view_args {
   unsigned hyper buckets<SW_BUCKETS>;
 };
@@ -333,8 +335,8 @@
     sw_part_res SW_PART (sw_part_args) = 8;
     sw_view_res SW_VIEW (sw_view_args) = 9;
     void SW_CANCEL (sw_cancel_args) = 11;
-    void SW_NEWS (sw_gossip) = 12;  /* not answered */
+    void SW_NEWS (sw_gossip) = 12;  /* has no answer */
     sw_allow_res SW_ALLOW (sw_allow_args) = 13;
-    void SW_LEAVE (void) = 10;  /* the platform says that the callee's VM leaves */
+    void SW_LEAVE (void) = 10;  /* the platform announces that the callee's VM will leave */
   } = 1;
 } = 0x20057a11;
--- a/wire/tests/test-wire.c
+++ b/wire/tests/test-wire.c
@@ -1,4 +1,4 @@
-/* Records and messages: whole, cut, joined, oversized and hostile. */
+/* Records and messages: complete, truncated, fragmented, oversized and malicious. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
