--- a/client/src/api.h
+++ b/client/src/api.h
@@ -1,5 +1,5 @@
 /*
- * Calls to a node's operator API.
+ * HTTP calls to a node's operator API.
  */
 #ifndef CLIENT_API_H
 #define CLIENT_API_H
@@ -13,15 +13,17 @@
   char *token;
 } Api;
 
-/* One call's result; `root` is NULL when the answer is no JSON. */
+/* The result of a call. `root` is NULL if the answer is not JSON. */
 typedef struct
 {
-  long status; /* 0 when no answer came */
+  long status; /* 0 if no answer arrived */
   char *text;
   JsonNode *root;
-  char *error; /* for no answer: why */
+  char *error; /* why no answer arrived; else NULL */
 } ApiResult;
 
+/* Calls the API and waits for the answer, for a minute at most. `body` may be NULL. The
+   caller frees the result. */
 ApiResult *
 api_call (const Api *api, const char *method, const char *path, const char *body);
 void api_result_free (ApiResult *result);
--- a/client/src/commands-logs.c
+++ b/client/src/commands-logs.c
@@ -1,4 +1,4 @@
-/* The commands that read nodes' logs. */
+/* The commands that read nodes' log files. */
 #include "commands-private.h"
 
 #include <errno.h>
@@ -9,7 +9,7 @@
 #include "explain.h"
 #include "outcomes.h"
 
-/* Takes a line of a log. */
+/* Handles a line of a log. */
 typedef void (*TakeLine) (gpointer data, const char *line, gssize len);
 
 static void
@@ -24,7 +24,8 @@
   request_outcomes_add (data, line, len);
 }
 
-/* Reads a file, "-" for standard input; FALSE with a message when it cannot be read. */
+/* Reads a file, or standard input for "-". Prints a message and returns FALSE if the file
+   cannot be opened. */
 static gboolean
 read_log (const char *path, TakeLine take, gpointer data)
 {
@@ -47,8 +48,8 @@
   return TRUE;
 }
 
-/* Reads the files named from the word at `first` on, standard input where there is none.
- */
+/* Reads the files named by the arguments from `first` on, or standard input if there are
+   none. */
 static ExitCode
 read_logs (const Options *options, int first, TakeLine take, gpointer data)
 {
@@ -66,7 +67,7 @@
 tell_bad_lines (guint count)
 {
   if (count > 0)
-    fprintf (stderr, "switchmill: %u lines were not JSON and were passed over\n", count);
+    fprintf (stderr, "switchmill: skipped %u lines that are not JSON\n", count);
 }
 
 ExitCode
@@ -81,7 +82,7 @@
   tell_bad_lines (explanation_bad_lines (explanation));
   if (lines->len == 0)
     {
-      fprintf (stderr, "switchmill: no line names \"%s\"\n", options->words[0]);
+      fprintf (stderr, "switchmill: no log line about \"%s\"\n", options->words[0]);
       code = CODE_FAULT;
     }
   explanation_destroy (explanation);
@@ -115,12 +116,12 @@
   tell_bad_lines (request_outcomes_bad_lines (outcomes));
   if (request_outcomes_omitted_lines (outcomes) > 0)
     fprintf (stderr,
-             "switchmill: nodes left %" G_GUINT64_FORMAT
-             " lines out: attempts are counted too low\n",
+             "switchmill: nodes omitted %" G_GUINT64_FORMAT
+             " log lines, so the numbers of attempts are too low\n",
              request_outcomes_omitted_lines (outcomes));
   if (request_outcomes_requests (outcomes) == 0)
     {
-      fprintf (stderr, "switchmill: no line tells of a request\n");
+      fprintf (stderr, "switchmill: no completed request found\n");
       code = CODE_FAULT;
     }
   request_outcomes_destroy (outcomes);
--- a/client/src/commands-private.h
+++ b/client/src/commands-private.h
@@ -1,19 +1,19 @@
 /*
- * What the files of the commands share: commands.c what is asked of a node and planned,
- * commands-logs.c what is read out of logs, commands-quarantine.c the quarantine.
+ * Internals of the commands: commands.c has the queries and the plans, commands-logs.c
+ * the commands that read log files, and commands-quarantine.c the quarantine.
  */
 #ifndef CLIENT_COMMANDS_PRIVATE_H
 #define CLIENT_COMMANDS_PRIVATE_H
 
 #include "commands.h"
 
-/* The object that a call was answered with, NULL for anything else. */
+/* Returns the JSON object of an answer, or NULL if there is none. The result owns it. */
 JsonObject *command_object (const ApiResult *result);
 
-/* Says what went wrong and what to do; the code for a call that did not succeed. */
+/* Prints the error of a failed call and the node's advice. Returns the exit code. */
 ExitCode command_complain (const ApiResult *result, const Options *options);
 
-/* Asks a node for an object, and prints it, or its text where that is wanted. */
+/* Gets an object from a node and prints it, as JSON with --json. */
 ExitCode command_show (const Options *options,
                        const char *path,
                        void (*print) (JsonObject *object));
--- a/client/src/commands-quarantine.c
+++ b/client/src/commands-quarantine.c
@@ -1,4 +1,4 @@
-/* The requests that targets have ended under. */
+/* The command for quarantined requests: lists them, or lifts a quarantine. */
 #include "commands-private.h"
 
 #include <core/http-status.h>
@@ -32,7 +32,8 @@
   if (result->status != HTTP_OK)
     code = command_complain (result, options);
   else if (!options->json)
-    printf ("%s is let go; it is held back again if targets end under it\n", request);
+    printf ("quarantine of %s lifted; further crashes will quarantine it again\n",
+            request);
   api_result_free (result);
   return code;
 }
--- a/client/src/commands.c
+++ b/client/src/commands.c
@@ -190,7 +190,7 @@
   else
     printf ("accepted as generation %" G_GINT64_FORMAT "\n",
             json_object_get_int_member (command_object (result), "generation"));
-  /* An answer that did not come says nothing of the write. */
+  /* Without an answer it is unknown whether the plan was written. */
   if (result->status == 0)
     {
       fprintf (stderr, "  the plan may have been accepted; confirm it again\n");
@@ -200,7 +200,7 @@
   return code;
 }
 
-/* Plans an intent, shows the plan, and confirms it where the operator said so. */
+/* Plans an intent, prints the plan, and confirms it if `confirm_it` is set. */
 static ExitCode
 plan (const Options *options, const char *intent, gboolean confirm_it)
 {
@@ -261,13 +261,14 @@
   if (!g_ascii_string_to_signed (options->words[2], 10, 0, G_MAXINT64, &base_generation,
                                  NULL))
     {
-      fprintf (stderr, "switchmill: %s is no generation\n", options->words[2]);
+      fprintf (stderr, "switchmill: \"%s\" is not a generation number\n",
+               options->words[2]);
       return CODE_USAGE;
     }
   return confirm (options, intent, options->words[1], base_generation);
 }
 
-/* An intent with one member, an array of the command's words. */
+/* Returns an intent with one member, an array of the arguments from `from` on. */
 static char *
 words_intent (const Options *options, int from, const char *member)
 {
@@ -348,30 +349,31 @@
 }
 
 const Command commands[] = {
-  { "status", "", "show a node's whole view", 0, 0, run_status },
-  { "service", "[NAME]", "show the services, or one", 0, 1, run_service },
+  { "status", "", "show a node's whole status", 0, 0, run_status },
+  { "service", "[NAME]", "show all services, or one", 0, 1, run_service },
   { "target", "[SERVICE]", "show the targets and their verdicts", 0, 1, run_target },
-  { "account", "[ID]", "show a client account, or those that are busy at a node", 0, 1,
+  { "account", "[ID]", "show a client account, or the busiest ones at a node", 0, 1,
     run_account },
   { "quarantine", "[lift REQUEST]",
-    "show the requests that targets have ended under, or let one go", 0, 2,
+    "show the requests under which targets crashed, or lift a quarantine", 0, 2,
     command_quarantine },
   { "events", "", "show a node's last events", 0, 0, run_events },
-  { "plan", "INTENT", "show what an intent file would change; --yes confirms it", 1, 1,
+  { "plan", "INTENT", "show what an intent file would change; --yes confirms", 1, 1,
     run_plan },
-  { "confirm", "INTENT PLAN GENERATION", "confirm a plan shown before", 3, 3,
+  { "confirm", "INTENT PLAN GENERATION", "confirm a plan that was shown before", 3, 3,
     run_confirm },
-  { "drain", "TARGET...", "plan that targets take nothing new; --yes confirms", 1,
+  { "drain", "TARGET...", "plan to send targets no new requests; --yes confirms", 1,
     G_MAXINT, run_drain },
-  { "restore", "TARGET...", "plan that they take work again; --yes confirms", 1, G_MAXINT,
-    run_restore },
+  { "restore", "TARGET...", "plan to send targets requests again; --yes confirms", 1,
+    G_MAXINT, run_restore },
   { "hall", "evacuate|back HALL...",
-    "plan that a data hall's targets take nothing new, or work again; --yes confirms", 2,
-    G_MAXINT, run_hall },
+    "plan to evacuate data halls (no new requests), or to use them again; --yes confirms",
+    2, G_MAXINT, run_hall },
   { "config", "check SETTINGS", "check a node's settings file", 2, 2, run_config },
-  { "explain", "ID [LOG...]", "show one request's way out of nodes' logs", 1, G_MAXINT,
+  { "explain", "ID [LOG...]", "show one request's path, from nodes' logs", 1, G_MAXINT,
     command_explain },
-  { "outcomes", "[LOG...]", "count what became of the requests in nodes' logs, and why",
-    0, G_MAXINT, command_outcomes },
+  { "outcomes", "[LOG...]",
+    "count the outcomes and failure causes of the requests in nodes' logs", 0, G_MAXINT,
+    command_outcomes },
   { NULL, NULL, NULL, 0, 0, NULL },
 };
--- a/client/src/commands.h
+++ b/client/src/commands.h
@@ -1,5 +1,5 @@
 /*
- * The commands of switchmill, and its exit codes.
+ * The commands of switchmill and its exit codes.
  */
 #ifndef CLIENT_COMMANDS_H
 #define CLIENT_COMMANDS_H
@@ -12,22 +12,22 @@
   CODE_FAULT = 1,       /* a file cannot be read, or the node's answer is unexpected */
   CODE_USAGE = 2,       /* wrong arguments */
   CODE_INVALID = 3,     /* settings or intent are not valid */
-  CODE_DENIED = 4,      /* the token is nobody's */
-  CODE_STALE = 5,       /* another change came first: nothing was changed */
-  CODE_BELOW_FLOOR = 6, /* the plan breaks a floor: nothing was changed */
+  CODE_DENIED = 4,      /* the token is not an operator's */
+  CODE_STALE = 5,       /* another change was accepted before: nothing was changed */
+  CODE_BELOW_FLOOR = 6, /* the plan takes capacity below a floor: nothing was changed */
   CODE_UNREACHABLE = 7, /* no answer from the node */
-  CODE_UNKNOWN = 8      /* it may have been accepted: confirm again */
+  CODE_UNKNOWN = 8      /* the plan may have been accepted: confirm it again */
 } ExitCode;
 
-/* What the command line says besides the command. */
+/* The options and arguments of the command line. */
 typedef struct
 {
   Api api;
   gboolean json;
   gboolean force;
   gboolean yes;
-  guint span_s;       /* of a count of outcomes, in seconds; 0 for one span */
-  const char **words; /* the command's own arguments */
+  guint span_s;       /* length of a span in a count of outcomes; 0 for a single span */
+  const char **words; /* the command's arguments */
   int word_count;
 } Options;
 
@@ -41,7 +41,7 @@
   ExitCode (*run) (const Options *options);
 } Command;
 
-/* All commands; the last has no name. */
+/* All commands, ended by one with a NULL name. */
 extern const Command commands[];
 
 #endif
--- a/client/src/explain.c
+++ b/client/src/explain.c
@@ -8,15 +8,15 @@
 {
   JsonNode *node;
   char *time;
-  guint order; /* of arrival, for equal times */
+  guint order; /* number of the line, for equal times */
 } Entry;
 
 struct Explanation
 {
   char *id;
-  GPtrArray *entries;   /* of Entry: every line about some request */
-  GHashTable *attempts; /* names of the request's attempts */
-  GHashTable *prints;   /* digits that it was held back by, or ended a target under */
+  GPtrArray *entries;   /* of Entry: lines that may be about the request */
+  GHashTable *attempts; /* ids of the request's attempts */
+  GHashTable *prints;   /* the request's quarantine fingerprints, in hex */
   guint bad;
 };
 
@@ -54,7 +54,8 @@
   g_free (explanation);
 }
 
-/* An id, or that of a request which it called from inside: "ID.REST". */
+/* Returns whether `id` is the wanted id, or the id of a call that the request's target
+   made: "ID.REST". */
 static gboolean
 is_of (const char *id, const char *wanted)
 {
@@ -74,7 +75,8 @@
   g_ptr_array_add (explanation->entries, entry);
 }
 
-/* A line that is whole ends with a brace; only those that matter are read as JSON. */
+/* Returns whether a line seems truncated, because it does not end with a brace. Only
+   lines that may be about the request are parsed as JSON. */
 static gboolean
 looks_torn (const char *text)
 {
@@ -85,9 +87,9 @@
   return strchr (text, '{') && (len == 0 || text[len - 1] != '}');
 }
 
-/* Whether a line may be about the request: it names it, or an attempt of nobody knows
-   which request, which the sidecars' lines do, or a fingerprint, which the quarantine's
-   do. */
+/* Returns whether a line may be about the request: it contains the wanted id, or it has
+   no request id but an attempt, as in the sidecars' lines, or a fingerprint, as in those
+   of the quarantine. */
 static gboolean
 may_be_about (const Explanation *explanation, const char *text)
 {
@@ -137,10 +139,10 @@
   return order ? order : (x->order > y->order) - (x->order < y->order);
 }
 
-/* The members of a line that hold a fingerprint's digits. */
+/* The members of a line that hold a fingerprint. */
 static const char *const print_members[] = { "request", "path_alone" };
 
-/* Whether a line of the quarantine tells of a request that has such a fingerprint. */
+/* Returns whether a line has the wanted fingerprint or one of the request's. */
 static gboolean
 has_print (const Explanation *explanation, const Entry *entry)
 {
@@ -165,8 +167,8 @@
          g_hash_table_contains (explanation->attempts, attempt);
 }
 
-/* Lines of others with the same fingerprint say why it was held back: ends under them.
-   What became of those others otherwise is their own matter. */
+/* Quarantine lines with the same fingerprint say why the request was refused: crashes
+   under other requests. Lines that name another request's id are left out. */
 static gboolean
 is_about (const Explanation *explanation, const Entry *entry)
 {
@@ -192,7 +194,7 @@
     }
 }
 
-/* "TIME NODE event name=value ..." */
+/* Returns a line as "TIME NODE event name=value ...". */
 static char *
 entry_text (const Entry *entry)
 {
--- a/client/src/log-line.h
+++ b/client/src/log-line.h
@@ -1,6 +1,6 @@
 /*
- * Lines of nodes' logs, as they stand in files: one JSON object each, perhaps behind
- * words of whoever collected them.
+ * Parses lines of nodes' log files: one JSON object each, possibly after a prefix of the
+ * log collector.
  */
 #ifndef CLIENT_LOG_LINE_H
 #define CLIENT_LOG_LINE_H
@@ -10,14 +10,15 @@
 typedef enum
 {
   LOG_LINE_GOOD,
-  LOG_LINE_OTHER, /* no object in it: somebody else's line */
-  LOG_LINE_BAD    /* a brace, and no whole object behind it */
+  LOG_LINE_OTHER, /* no object: a line of another program */
+  LOG_LINE_BAD    /* a brace without a complete object */
 } LogLine;
 
-/* `node` is set for a good line; the caller unrefs it. */
+/* Parses a line; `len` is -1 for a string that ends with a zero byte. Sets `node` for
+   LOG_LINE_GOOD only; the caller unrefs it. */
 LogLine log_line_parse (const char *line, gssize len, JsonNode **node);
 
-/* A text member of a line, or "". */
+/* Returns a string member of a line, or "". */
 const char *log_line_member (const JsonNode *node, const char *name);
 
 #endif
--- a/client/src/main.c
+++ b/client/src/main.c
@@ -1,5 +1,5 @@
 /*
- * switchmill: the operators' client.
+ * switchmill: the operators' command line.
  */
 #include <argtable2.h>
 #include <curl/curl.h>
@@ -23,8 +23,8 @@
 
       printf ("  %-32s %s\n", usage, command->summary);
     }
-  printf ("\nExit codes: 0 done, 1 fault, 2 usage, 3 not valid, 4 denied, 5 stale,\n"
-          "6 below a floor, 7 unreachable, 8 not known whether accepted.\n");
+  printf ("\nExit codes: 0 success, 1 error, 2 usage, 3 invalid, 4 denied, 5 stale,\n"
+          "6 below a floor, 7 unreachable, 8 unknown whether accepted.\n");
 }
 
 static const Command *
@@ -43,7 +43,7 @@
 
   if (!command)
     {
-      fprintf (stderr, "switchmill: no command \"%s\"; see --help\n", name);
+      fprintf (stderr, "switchmill: unknown command \"%s\"; see --help\n", name);
       return CODE_USAGE;
     }
   if (options->word_count < command->words_min ||
@@ -69,10 +69,11 @@
   struct arg_lit *help = arg_lit0 ("h", "help", "show this help");
   struct arg_lit *version = arg_lit0 (NULL, "version", "show the version");
   struct arg_lit *json = arg_lit0 (NULL, "json", "print JSON");
-  struct arg_lit *yes = arg_lit0 ("y", "yes", "confirm the plan at once");
-  struct arg_lit *force = arg_lit0 (NULL, "force", "confirm although a floor breaks");
+  struct arg_lit *yes = arg_lit0 ("y", "yes", "confirm the plan immediately");
+  struct arg_lit *force =
+      arg_lit0 (NULL, "force", "confirm a plan that goes below a floor");
   struct arg_int *span =
-      arg_int0 (NULL, "span", "SECONDS", "count by spans of so many seconds (outcomes)");
+      arg_int0 (NULL, "span", "SECONDS", "count by spans of this length (outcomes)");
   struct arg_str *node = arg_str0 ("n", "node", "ADDRESS:PORT",
                                    "a node's operator listener (or SWITCHMILL_NODE)");
   struct arg_str *token =
--- a/client/src/outcomes-private.h
+++ b/client/src/outcomes-private.h
@@ -1,25 +1,25 @@
 /*
- * What the files of the outcomes share: outcomes.c reads the lines, outcomes-report.c
- * counts what they tell and prints it.
+ * Internals of the outcomes: outcomes.c reads log lines, and outcomes-report.c counts the
+ * requests and writes the report.
  */
 #ifndef CLIENT_OUTCOMES_PRIVATE_H
 #define CLIENT_OUTCOMES_PRIVATE_H
 
 #include "outcomes.h"
 
-/* Why a request was not served, at the root. */
+/* The root cause of a request that was not served. */
 typedef enum
 {
   CAUSE_NONE,
-  CAUSE_TARGET_FAILED, /* its own target answered that it failed */
+  CAUSE_TARGET_FAILED, /* the request's own target answered with an error */
   CAUSE_HUNG,          /* a target did not answer in time */
-  CAUSE_BROKEN,        /* an answer was cut, crossed or too large */
-  CAUSE_NODE_LOST,     /* the node before the target did not answer, or was not reached */
-  CAUSE_NO_SLOT,       /* every target that was asked was full */
-  CAUSE_QUEUE,         /* it waited, and could not be done in the time left */
-  CAUSE_BUDGET,        /* another try was not allowed any more */
-  CAUSE_SICK,          /* the targets that were left were held sick */
-  CAUSE_NOBODY_LEFT,   /* no target at all */
+  CAUSE_BROKEN,        /* an answer was truncated, crossed or too large */
+  CAUSE_NODE_LOST,     /* the target's node did not answer or was not reached */
+  CAUSE_NO_SLOT,       /* every target that was tried was full */
+  CAUSE_QUEUE,         /* the time left was too short for it */
+  CAUSE_BUDGET,        /* the retry budget was exhausted */
+  CAUSE_SICK,          /* the remaining targets counted as sick */
+  CAUSE_NOBODY_LEFT,   /* no target remained */
   CAUSE_LEAVING,       /* the node or the target was leaving */
   CAUSE_CALLER_LEFT,
   CAUSE_OTHER,
@@ -29,7 +29,7 @@
 typedef enum
 {
   FATE_SERVED,
-  FATE_LATE, /* served after its objective */
+  FATE_LATE, /* served later than its objective */
   FATE_REFUSED,
   FATE_FAILED,
   FATE_COUNT
@@ -42,8 +42,8 @@
   gint64 took_us;
   Fate fate;
   Cause cause;
-  gboolean over;      /* its last line was found */
-  gboolean by_target; /* the target's own answer says that it failed */
+  gboolean over;      /* its final log line was found */
+  gboolean by_target; /* the target answered with a status of 500 or above */
   guint own_hall;     /* attempts */
   guint other_halls;
   guint retries;
@@ -55,13 +55,13 @@
 {
   guint span_s;
   GHashTable *requests; /* id → Request */
-  GHashTable *bytes[2]; /* kind → guint64 *, of finished lives: own hall, others */
-  GHashTable *last[2];  /* "node kind" → guint64 *, of lives that go on */
+  GHashTable *bytes[2]; /* kind → guint64 *, before node restarts: own hall, others */
+  GHashTable *last[2];  /* "node kind" → guint64 *, last counts since node starts */
   guint64 omitted;
   guint bad;
 };
 
-/* Adds to the sum of one kind of bytes; `table` is kind → guint64 *. */
+/* Adds to the bytes sent of one kind; `table` maps kinds to guint64 *. */
 void request_outcomes_add_bytes (GHashTable *table, const char *kind, guint64 bytes);
 
 #endif
--- a/client/src/outcomes-report.c
+++ b/client/src/outcomes-report.c
@@ -3,7 +3,7 @@
 #include <core/json-write.h>
 #include <string.h>
 
-/* Classes times spans; what is beyond is left out. */
+/* Bound of the number of rows, one for each class and span; further rows are left out. */
 #define CLASSES_MAX 10000u
 
 static const char *const cause_names[CAUSE_COUNT] = {
@@ -14,15 +14,16 @@
 static const char *const fate_names[FATE_COUNT] = { "served", "late", "refused",
                                                     "failed" };
 
-/* What is counted of a class in one span. */
+/* The counts of one class in one span. */
 typedef struct
 {
   char *class;
   gint64 span;
   guint fates[FATE_COUNT];
   guint causes[CAUSE_COUNT];
-  guint call_causes[CAUSE_COUNT]; /* of those that failed by a call of their target */
-  gint64 unserved_us;             /* how long those that were not served were held */
+  guint call_causes[CAUSE_COUNT]; /* of requests that failed because a call of their
+                                     target failed */
+  gint64 unserved_us;             /* total time taken by requests that were not served */
   guint own_hall;
   guint other_halls;
   guint retries;
@@ -39,7 +40,8 @@
   g_free (row);
 }
 
-/* Calls are named after the request they are made for: "ID.REST". NULL for no call. */
+/* Returns the id of the request for which a call is made, or NULL if `id` is not a
+   call's. The id of a call is "ID.REST". */
 static char *
 parent_of (const char *id)
 {
@@ -48,7 +50,7 @@
   return stop ? g_strndup (id, (gsize)(stop - id)) : NULL;
 }
 
-/* The cause of a call that failed, by the id of the request that it was made for. */
+/* Returns the causes of failed calls, by the id of the request that made them. */
 static GHashTable *
 causes_of_calls (const RequestOutcomes *outcomes)
 {
@@ -111,7 +113,7 @@
     row->causes[request->cause]++;
 }
 
-/* The rows of all requests, by "span class". */
+/* Returns the rows of all requests, by "span class". */
 static GHashTable *
 tabulate (const RequestOutcomes *outcomes)
 {
@@ -155,7 +157,7 @@
   return row->fates[FATE_REFUSED] + row->fates[FATE_FAILED];
 }
 
-/* The mean time that a request was held which was not served, in milliseconds. */
+/* Returns the mean time that a request took which was not served, in milliseconds. */
 static gint64
 held_ms (const Row *row)
 {
@@ -170,7 +172,7 @@
       g_string_append_printf (text, " %s%s=%u", prefix, cause_names[i], causes[i]);
 }
 
-/* All bytes of a kind: of lives that are over and of those that go on. */
+/* Returns the bytes of each kind: the sums before restarts and the last counts. */
 static GHashTable *
 sum_bytes (const RequestOutcomes *outcomes, guint hall)
 {
--- a/client/src/outcomes.c
+++ b/client/src/outcomes.c
@@ -5,7 +5,7 @@
 
 #include "log-line.h"
 
-/* The reasons that log lines give, and what they come to. */
+/* The causes of the reasons in log lines. */
 static const struct
 {
   const char *reason;
@@ -178,7 +178,8 @@
   *sum += bytes;
 }
 
-/* "kind=bytes kind=bytes ...": counts rise while a node lives, and start anew with it. */
+/* Handles "kind=bytes kind=bytes ...". The counts of a node rise from its start, so a
+   lower count means that the node was restarted. */
 static void
 take_bytes (RequestOutcomes *outcomes, guint hall, const char *name, const char *text)
 {
--- a/client/src/outcomes.h
+++ b/client/src/outcomes.h
@@ -1,6 +1,6 @@
 /*
- * `switchmill outcomes LOG...`: what became of the requests in the logs of many nodes,
- * and why, by class and by spans of time.
+ * `switchmill outcomes LOG...`: the results of the requests in the logs of many nodes and
+ * the causes of failures, by class and by span of time.
  */
 #ifndef CLIENT_OUTCOMES_H
 #define CLIENT_OUTCOMES_H
@@ -9,23 +9,26 @@
 
 typedef struct RequestOutcomes RequestOutcomes;
 
-/* Requests are counted in spans of so many seconds by when they began; 0 for one span. */
+/* Counts requests by the span of `span_s` seconds in which they began; 0 for a single
+   span. */
 RequestOutcomes *request_outcomes_create (guint span_s);
 void request_outcomes_destroy (RequestOutcomes *outcomes);
 
-/* Takes a line of a log in; lines may come in any order, and some may be missing. */
+/* Adds a log line; `len` is -1 for a string that ends with a zero byte. Lines may come in
+   any order, and some may be missing. */
 void request_outcomes_add (RequestOutcomes *outcomes, const char *line, gssize len);
 
-/* Requests whose last line was found. */
+/* Returns the number of requests whose final log line was found. */
 guint request_outcomes_requests (const RequestOutcomes *outcomes);
-/* Lines that were cut or are no JSON. */
+/* Returns the number of lines that are truncated or not JSON. */
 guint request_outcomes_bad_lines (const RequestOutcomes *outcomes);
-/* Lines that nodes left out because there were too many, by their own count. */
+/* Returns the number of lines that nodes have omitted because of their log limit, by
+   their own count. */
 guint64 request_outcomes_omitted_lines (const RequestOutcomes *outcomes);
 
-/* As tables for people; the caller frees it. */
+/* Returns a table for people. The caller frees it. */
 char *request_outcomes_text (RequestOutcomes *outcomes);
-/* As one object for programs; the caller unrefs it. */
+/* Returns a JSON object for programs. The caller unrefs it. */
 JsonNode *request_outcomes_json (RequestOutcomes *outcomes);
 
 #endif
--- a/client/src/print.c
+++ b/client/src/print.c
@@ -38,7 +38,7 @@
   printf ("plan %s\nbase generation %" G_GINT64_FORMAT "\n", text_of (plan, "id"),
           int_of (plan, "base_generation"));
   if (length_of (changes) == 0)
-    printf ("  changes nothing\n");
+    printf ("  no changes\n");
   for (guint i = 0; i < length_of (changes); i++)
     printf ("  %s\n", json_array_get_string_element (changes, i));
   for (guint i = 0; i < length_of (capacity); i++)
@@ -161,7 +161,7 @@
   for (guint i = 0; i < length_of (accounts); i++)
     {
       JsonObject *item = json_array_get_object_element (accounts, i);
-      /* Keys are counted for one account alone. */
+      /* The node counts keys only if one account is queried. */
       g_autofree char *keys =
           json_object_has_member (item, "keys")
               ? g_strdup_printf ("%" G_GINT64_FORMAT, int_of (item, "keys"))
--- a/client/tests/test-explain.c
+++ b/client/tests/test-explain.c
@@ -1,4 +1,4 @@
-/* One request's way out of logs of many nodes, with gaps and bad lines. */
+/* One request's path, from logs of many nodes with gaps and bad lines. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -8,7 +8,7 @@
 #include "../src/explain.h"
 
 static const char *const log_lines[] = {
-  /* The sidecar's line comes before the one that tells whose attempt it is. */
+  /* The sidecar's line comes before the line that names the attempt's request. */
   "{\"time\":\"T3\",\"node\":\"b\",\"event\":\"target-failed\",\"attempt\":\"a-1-2\","
   "\"reason\":\"broken\"}",
   "   1.25 vm-a {\"time\":\"T1\",\"node\":\"a\",\"event\":\"attempt\",\"id\":\"x\","
@@ -69,8 +69,8 @@
   explanation_destroy (explanation);
 }
 
-/* A request that was turned away by its fingerprint: the ends that led to it stand
-   before, though other requests were at work there. */
+/* For a request that was refused because of its fingerprint, the crashes that led to the
+   quarantine are shown too, although they happened under other requests. */
 static void
 test_what_held_a_request_back_is_told (void **state)
 {
@@ -95,7 +95,7 @@
       for (gsize j = 0; j < G_N_ELEMENTS (lines); j++)
         explanation_add (explanation, lines[j], -1);
       found = explanation_lines (explanation);
-      /* Of the digits alone: the end and the finding, and nobody's refusal. */
+      /* The fingerprint alone gives the crash and the quarantine, but no refusal. */
       assert_int_equal (found->len, i == 0 ? 3 : 2);
       assert_true (g_str_has_prefix (g_ptr_array_index (found, 0), "T1 a ended-under"));
       assert_true (g_str_has_prefix (g_ptr_array_index (found, 1), "T3 c quarantined"));
--- a/client/tests/test-outcomes.c
+++ b/client/tests/test-outcomes.c
@@ -1,4 +1,4 @@
-/* What became of requests, out of logs of many nodes with gaps and bad lines. */
+/* Outcomes of requests, from logs of many nodes with gaps and bad lines. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,7 +12,7 @@
 #define AT(second) "{\"time\":\"2026-01-01T00:00:" second ".500000Z\",\"node\":\"a\","
 
 static const char *const log_lines[] = {
-  /* Served in its own hall, and late from another. */
+  /* One request served in its own hall, and one served late by another hall. */
   AT ("01") "\"event\":\"attempt\",\"id\":\"x\",\"attempt\":\"a-1-1\",\"own_hall\":"
             "\"yes\"}",
   AT ("01") "\"event\":\"request\",\"id\":\"x\",\"class\":\"pay\",\"outcome\":\"done\","
@@ -22,7 +22,7 @@
   AT ("12") "\"event\":\"request\",\"id\":\"y\",\"class\":\"pay\",\"outcome\":\"done\","
             "\"status\":\"200\",\"arrivals\":\"2\",\"took_us\":\"9000000\",\"late\":"
             "\"yes\"}",
-  /* Failed, for a call of its target hung; the call's line comes later. */
+  /* One that failed because a call of its target hung; the call's line comes later. */
   AT ("03") "\"event\":\"request-failed\",\"id\":\"z\",\"class\":\"pay\",\"outcome\":"
             "\"done\","
             "\"status\":\"500\",\"arrivals\":\"1\",\"took_us\":\"2000000\"}",
@@ -31,11 +31,11 @@
             "\"took_us\":\"1500000\"}",
   AT ("02") "\"event\":\"attempt-end\",\"id\":\"z.1\",\"result\":\"refused\","
             "\"reason\":\"budget\"}",
-  /* Refused; and one whose end is missing. */
+  /* One that was refused, and one whose final line is missing. */
   AT ("04") "\"event\":\"request-failed\",\"id\":\"w\",\"class\":\"pay\","
             "\"outcome\":\"not-run\",\"reason\":\"overload\",\"took_us\":\"4000\"}",
   AT ("04") "\"event\":\"attempt\",\"id\":\"v\",\"own_hall\":\"yes\"}",
-  /* A node that sent bytes, started anew, and sent more. */
+  /* A node that sent bytes, restarted, and sent more. */
   AT ("05") "\"event\":\"bytes-sent\",\"own_hall\":\"probes=10 answers=5\","
             "\"other_halls\":\"probes=7 answers=100\"}",
   AT ("06") "\"event\":\"bytes-sent\",\"own_hall\":\"probes=12 answers=6\","
@@ -137,7 +137,7 @@
   RequestOutcomes *outcomes = filled (2);
   g_autoptr (JsonNode) node = request_outcomes_json (outcomes);
   JsonObject *root = json_node_get_object (node);
-  gint64 zero = 1767225600; /* the lines' second 0, since the epoch */
+  gint64 zero = 1767225600; /* second 0 of the lines, as Unix time */
 
   assert_int_equal (json_object_get_int_member (row_of (root, "pay", zero), "served"), 1);
   assert_int_equal (json_object_get_int_member (row_of (root, "pay", zero + 2), "late"),
