--- a/client/src/outcomes.h
+++ b/client/src/outcomes.h
@@ -15,7 +15,8 @@
 void request_outcomes_destroy (RequestOutcomes *outcomes);
 
 /* Adds a log line; `len` is -1 for a string that ends with a zero byte. Lines may come in
-   any order, and some may be missing. */
+   any order, and some may be missing; only the bytes-sent lines of a node must be in
+   order of time. */
 void request_outcomes_add (RequestOutcomes *outcomes, const char *line, gssize len);
 
 /* Returns the number of requests whose final log line was found. */
--- a/wire/regenerate.sh
+++ b/wire/regenerate.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Makes the committed codec anew from switchmill.x; needs rpcgen.
+# Regenerates the committed codecs from switchmill.x; needs rpcgen.
 set -eu
 cd "$(dirname "$0")"
 rm -f gen/switchmill.h gen/switchmill_xdr.c
