--- a/bench/src/allowance-net-load.c
+++ b/bench/src/allowance-net-load.c
@@ -50,19 +50,19 @@
                    sim->it->pattern == ALLOWANCE_SMALL;
 
   return (sim->it->pattern == ALLOWANCE_SMALL ? 1 : LARGE_PER_S) *
-         (usual ? USUAL : FLOOD);
+         (usual ? NORMAL_DEMAND : HIGH_DEMAND);
 }
 
 void
-sim_trouble (Sim *sim, guint step)
+sim_apply_faults (Sim *sim, guint step)
 {
-  guint begin = TROUBLE_S * STEPS_PER_S;
+  guint begin = FAULT_S * STEPS_PER_S;
   gint64 now = clock_now (sim->clock);
 
   if (sim->it->pattern == ALLOWANCE_CUT && step == begin + DETECT_S * STEPS_PER_S)
     {
       sim->cut = TRUE;
-      sim->most_until_us = now + MOST_KEPT_US;
+      sim->fleet_size_until_us = now + FLEET_SIZE_KEPT_US;
       sim_fill_view (sim, 0);
       sim_fill_view (sim, 1);
     }
@@ -89,7 +89,7 @@
 }
 
 static double
-bound_of (const AllowanceTerms *terms)
+window_bound (const AllowanceTerms *terms)
 {
   return (terms->per_s * WINDOW_S + terms->burst) * (1 + sim_rule.overage) +
          sim_rule.slack;
@@ -100,19 +100,19 @@
 sim_worst_window (const Sim *sim)
 {
   guint span = WINDOW_S * STEPS_PER_S + 1;
-  guint lower = (TROUBLE_S + CONFIG_S) * STEPS_PER_S + span;
-  double high = bound_of (&sim->nodes[0].terms);
+  guint lower = (FAULT_S + CONFIG_S) * STEPS_PER_S + span;
+  double high = window_bound (&sim->nodes[0].terms);
   double worst = 0;
   guint sum = 0;
 
   if (sim->it->pattern == ALLOWANCE_LOWERED)
-    high = bound_of (&(AllowanceTerms){ LARGE_PER_S, LARGE_PER_S });
+    high = window_bound (&(AllowanceTerms){ LARGE_PER_S, LARGE_PER_S });
   for (guint i = 0; i < STEPS; i++)
     {
       gboolean lowered = sim->it->pattern == ALLOWANCE_LOWERED && i >= lower;
 
       sum += sim->passed[i] - (i >= span ? sim->passed[i - span] : 0);
-      worst = MAX (worst, sum / (lowered ? bound_of (&sim->terms) : high));
+      worst = MAX (worst, sum / (lowered ? window_bound (&sim->terms) : high));
     }
   return worst;
 }
--- a/bench/src/allowance-net-private.h
+++ b/bench/src/allowance-net-private.h
@@ -18,21 +18,21 @@
 #define LENDER_SILENT_SKIP_US (500 * MS_US)
 #define NOT_LENDER_SKIP_US (50 * MS_US)
 #define STARTUP_US SECOND_US
-#define MOST_KEPT_US (30 * SECOND_US)
-/* The fault begins at TROUBLE_S. A cut lasts CUT_S; views change DETECT_S after its start
+#define FLEET_SIZE_KEPT_US (30 * SECOND_US)
+/* The fault begins at FAULT_S. A cut lasts CUT_S; views change DETECT_S after its start
    and HEAL_S after its end. A new configuration reaches all nodes within CONFIG_S. */
-#define TROUBLE_S 20u
+#define FAULT_S 20u
 #define CUT_S 15u
 #define DETECT_S 5u
 #define HEAL_S 2u
 #define CONFIG_S 2u
 /* Sizes of a request to a lender and of its answer, with RPC and record headers. */
-#define QUESTION_BYTES 104.0
+#define LEND_REQUEST_BYTES 104.0
 #define ANSWER_BYTES 44.0
 
 #define LARGE_PER_S 264.0
-#define FLOOD 5.0
-#define USUAL 0.62
+#define HIGH_DEMAND 5.0
+#define NORMAL_DEMAND 0.62
 
 typedef struct
 {
@@ -64,7 +64,7 @@
   guint lenders[2][ALLOWANCE_LENDERS]; /* by view; indices into `nodes` */
   guint lender_counts[2];
   gint64 changed_us[2];
-  gint64 most_until_us;
+  gint64 fleet_size_until_us;
   gboolean cut;
   AllowanceTerms terms; /* the newest configuration */
   guint *passed;        /* requests let through, by step */
@@ -72,9 +72,9 @@
   guint let;
   guint refused;
   guint messages;
-  double ideal_level;
+  double reference_level;
   guint ideal;
-  gint64 moved_us;
+  gint64 longest_wait_us;
 } Sim;
 
 extern const AllowanceRule sim_rule;
@@ -93,7 +93,7 @@
 /* Returns a random number of arrivals, Poisson distributed. */
 guint sim_arrivals (Sim *sim, double mean);
 /* Applies the faults and configuration changes of a step. */
-void sim_trouble (Sim *sim, guint step);
+void sim_apply_faults (Sim *sim, guint step);
 /* Returns the requests of the worst window, divided by the bound for a window. */
 double sim_worst_window (const Sim *sim);
 
--- a/bench/src/allowance-net.c
+++ b/bench/src/allowance-net.c
@@ -10,7 +10,7 @@
 
 /* Numbers of halls as in the users' fleets of about that size. */
 static guint
-halls_of (guint nodes)
+halls_for_size (guint nodes)
 {
   return nodes < 100 ? 3 : nodes < 500 ? 5 : 23;
 }
@@ -66,9 +66,9 @@
   sim->it = it;
   sim->clock = clock_create_manual (0);
   sim->rand = g_rand_new_with_seed (it->seed);
-  sim->halls = halls_of (it->nodes);
+  sim->halls = halls_for_size (it->nodes);
   sim->terms = (AllowanceTerms){ per_s, per_s };
-  sim->ideal_level = per_s;
+  sim->reference_level = per_s;
   sim->passed = g_new0 (guint, STEPS + 1);
   sim->nodes = g_new0 (SimNode, it->nodes);
   sim->hall_names = g_new0 (char *, sim->halls + 1);
@@ -112,7 +112,7 @@
 /* Fills `places` with the indices of the lenders that a node sees; a lender in its own
    hall comes first. Returns the number of lenders. */
 static guint
-lenders_of (const Sim *sim, const SimNode *node, guint places[ALLOWANCE_LENDERS])
+fill_lenders (const Sim *sim, const SimNode *node, guint places[ALLOWANCE_LENDERS])
 {
   guint view = node->hall != 0;
   guint count = sim->lender_counts[view];
@@ -136,7 +136,7 @@
 {
   guint seen = sim->views[node->hall != 0]->len;
 
-  if (clock_now (sim->clock) >= sim->most_until_us)
+  if (clock_now (sim->clock) >= sim->fleet_size_until_us)
     return 1;
   return (double)seen / sim->it->nodes;
 }
@@ -147,7 +147,7 @@
 lend (Sim *sim, SimNode *lender, guint wanted, AllowanceGrant *grant)
 {
   guint places[ALLOWANCE_LENDERS];
-  guint count = lenders_of (sim, lender, places);
+  guint count = fill_lenders (sim, lender, places);
   gint64 since =
       MAX (sim->changed_us[lender->hall != 0], lender->started_us + STARTUP_US);
   gboolean own = FALSE;
@@ -169,7 +169,7 @@
   sim->let++;
   sim->passed[sim_now (sim) / STEP_US]++;
   if (node->waiting > 0)
-    sim->moved_us = MAX (sim->moved_us, waited);
+    sim->longest_wait_us = MAX (sim->longest_wait_us, waited);
 }
 
 static void
@@ -184,11 +184,11 @@
 
 /* Returns FALSE while the two nodes are on different sides of a cut. */
 static gboolean
-gets_there (const Sim *sim, const SimNode *from, const SimNode *to)
+can_reach (const Sim *sim, const SimNode *from, const SimNode *to)
 {
   gint64 now = sim_now (sim);
-  gboolean apart = sim->it->pattern == ALLOWANCE_CUT && now >= TROUBLE_S * SECOND_US &&
-                   now < (TROUBLE_S + CUT_S) * SECOND_US;
+  gboolean apart = sim->it->pattern == ALLOWANCE_CUT && now >= FAULT_S * SECOND_US &&
+                   now < (FAULT_S + CUT_S) * SECOND_US;
 
   return !apart || (from->hall == 0) == (to->hall == 0);
 }
@@ -210,7 +210,7 @@
     node->wanted = MAX (node->wanted, 1);
   if (node->wanted == 0)
     return;
-  count = lenders_of (sim, node, places);
+  count = fill_lenders (sim, node, places);
   for (guint i = 0; i < count; i++)
     names[i] = sim->nodes[places[i]].name;
   place = allowance_cache_pick_lender (node->cache, "acme", names, count, &wait_us);
@@ -223,7 +223,7 @@
   node->lender = (gint)places[place];
   node->asked_us = clock_now (sim->clock);
   node->due_us = node->asked_us + STEP_US;
-  if (!gets_there (sim, node, &sim->nodes[node->lender]))
+  if (!can_reach (sim, node, &sim->nodes[node->lender]))
     node->due_us = node->asked_us + TIMEOUT_US;
   sim->messages += &sim->nodes[node->lender] != node;
 }
@@ -236,7 +236,7 @@
   gint64 pause = 0;
 
   node->due_us = 0;
-  if (!gets_there (sim, node, lender))
+  if (!can_reach (sim, node, lender))
     pause = LENDER_SILENT_SKIP_US;
   else if (!lend (sim, lender, node->wanted, &grant))
     pause = NOT_LENDER_SKIP_US;
@@ -251,11 +251,11 @@
 }
 
 static void
-count_ideal (Sim *sim)
+count_reference (Sim *sim)
 {
-  if (sim->ideal_level < 1)
+  if (sim->reference_level < 1)
     return;
-  sim->ideal_level--;
+  sim->reference_level--;
   sim->ideal++;
 }
 
@@ -265,7 +265,7 @@
   AllowanceGrant grant;
 
   sim->asked++;
-  count_ideal (sim);
+  count_reference (sim);
   if (sim->it->way == ALLOWANCE_EQUAL)
     {
       grant = allowance_book_lend (node->book, "acme", &node->terms, 1.0 / sim->it->nodes,
@@ -295,9 +295,9 @@
     {
       double expected = sim_demand (sim) / STEPS_PER_S;
 
-      sim_trouble (sim, step);
-      sim->ideal_level =
-          MIN (sim->ideal_level + sim->terms.per_s / STEPS_PER_S, sim->terms.burst);
+      sim_apply_faults (sim, step);
+      sim->reference_level =
+          MIN (sim->reference_level + sim->terms.per_s / STEPS_PER_S, sim->terms.burst);
       for (guint i = 0; i < it->nodes; i++)
         if (sim->nodes[i].due_us > 0 && clock_now (sim->clock) >= sim->nodes[i].due_us)
           handle_lend_answer (sim, &sim->nodes[i]);
@@ -308,8 +308,9 @@
   result.worst = sim_worst_window (sim);
   result.refused = sim->asked ? (double)sim->refused / sim->asked : 0;
   result.own = sim->ideal ? (double)sim->let / sim->ideal : 0;
-  result.moved_ms = (double)sim->moved_us / MS_US;
-  result.bytes = sim->messages * (QUESTION_BYTES + ANSWER_BYTES) / 2 / RUN_S / it->nodes;
+  result.longest_wait_ms = (double)sim->longest_wait_us / MS_US;
+  result.bytes =
+      sim->messages * (LEND_REQUEST_BYTES + ANSWER_BYTES) / 2 / RUN_S / it->nodes;
   sim_destroy (sim);
   return result;
 }
--- a/bench/src/allowance-net.h
+++ b/bench/src/allowance-net.h
@@ -42,8 +42,8 @@
   double worst;   /* requests in the worst window, divided by the bound; should be <= 1 */
   double refused; /* refused share of all requests */
   double own;     /* requests let through, divided by those of one central token bucket */
-  double moved_ms; /* the longest wait of a request that was let through */
-  double bytes;    /* per second and node, in each direction */
+  double longest_wait_ms; /* the longest wait of a request that was let through */
+  double bytes;           /* per second and node, in each direction */
 } AllowanceResult;
 
 const char *allowance_way_name (AllowanceWay way);
--- a/bench/src/bench-accounts.c
+++ b/bench/src/bench-accounts.c
@@ -27,7 +27,7 @@
 }
 
 static char *
-whole_intent (void)
+create_full_intent (void)
 {
   GString *text = g_string_new ("{\"services\":[{\"name\":\"s\",\"tenant\":\"t\"}],"
                                 "\"routes\":[");
@@ -52,7 +52,7 @@
 }
 
 static Plan *
-plan_of (const Snapshot *base, const char *intent)
+create_plan (const Snapshot *base, const char *intent)
 {
   JsonFaults *faults = json_faults_create ();
   Plan *plan = plan_create (base, intent, -1, NULL, NULL, faults);
@@ -125,7 +125,7 @@
                          "{\"routes\":[{\"prefix\":\"/r/%u\",\"service\":\"s\","
                          "\"class\":\"new\"}]}",
                          i);
-      plan_destroy (plan_of (base, text->str));
+      plan_destroy (create_plan (base, text->str));
     }
   return (double)(clock_thread_cpu () - began) / 1000 / CHANGES;
 }
@@ -141,8 +141,8 @@
 {
   Snapshot *empty = snapshot_create_empty ();
   gsize before = allocated ();
-  g_autofree char *intent = whole_intent ();
-  Plan *plan = plan_of (empty, intent);
+  g_autofree char *intent = create_full_intent ();
+  Plan *plan = create_plan (empty, intent);
   Snapshot *snapshot = snapshot_of (plan);
   double route;
   double key;
--- a/bench/src/bench-allowance.c
+++ b/bench/src/bench-allowance.c
@@ -27,7 +27,7 @@
 
           printf ("%-8s %-8s %6u %7.3f %8.4f %6.3f %9.0f %12.1f\n",
                   allowance_way_name (way), allowance_pattern_name (pattern), sizes[size],
-                  result.worst, result.refused, result.own, result.moved_ms,
+                  result.worst, result.refused, result.own, result.longest_wait_ms,
                   result.bytes);
         }
   return 0;
@@ -35,7 +35,7 @@
 
 /* Returns FALSE if the pattern or the protocol is unknown. */
 static gboolean
-find_names (AllowanceCase *it, const char *pattern, const char *way)
+parse_names (AllowanceCase *it, const char *pattern, const char *way)
 {
   guint place = 0;
 
@@ -86,7 +86,7 @@
   way->sval[0] = "lent";
   if (arg_parse (argc, argv, table) > 0)
     arg_print_errors (stderr, end, "bench-allowance");
-  else if (!find_names (&it, pattern->sval[0], way->sval[0]))
+  else if (!parse_names (&it, pattern->sval[0], way->sval[0]))
     fprintf (stderr, "bench-allowance: unknown pattern or WAY\n");
   else
     {
--- a/bench/src/bench-detect.c
+++ b/bench/src/bench-detect.c
@@ -42,7 +42,7 @@
 
   for (guint seed = 1; seed <= SEEDS; seed++)
     {
-      TraceResult result = trace_play (kind, shape, row->kind, row->setting, seed);
+      TraceResult result = trace_run (kind, shape, row->kind, row->setting, seed);
 
       if (result.detected_us >= 0)
         times[found++] = result.detected_us;
--- a/bench/src/bench-quarantine.c
+++ b/bench/src/bench-quarantine.c
@@ -19,7 +19,7 @@
 } sizes[] = { { 31, 4 }, { 93, 3 }, { 353, 5 }, { 1200, 23 } };
 
 static QuarantineResult
-worst_of (const QuarantineCase *it)
+worst_result (const QuarantineCase *it)
 {
   QuarantineResult worst = { 0 };
 
@@ -44,7 +44,7 @@
 static void
 print_case (const QuarantineCase *it)
 {
-  QuarantineResult worst = worst_of (it);
+  QuarantineResult worst = worst_result (it);
   double seconds = (double)QUARANTINE_SPAN_US / 1e6;
 
   printf ("%-6s %-6s %5u last-ms %6.0f bytes-a-second %6.0f most %6.0f innocent %u\n",
@@ -64,7 +64,7 @@
 
 /* Measures the look-up of a request that has no entry, in an empty and in a full list. */
 static void
-print_price (void)
+print_lookup_cost (void)
 {
   Clock *clock = clock_create_manual (1000 * SECOND_US);
   Quarantine *list = quarantine_create (clock);
@@ -107,7 +107,7 @@
 /* Measures all fingerprints of a request with the largest body. A node computes them only
    if the request's head matches an entry. */
 static void
-print_body_price (void)
+print_fingerprint_cost (void)
 {
   FingerprintKey *key = fingerprint_key_create ("secret");
   g_autofree char *body = g_malloc0 (BODY_MAX);
@@ -130,7 +130,7 @@
 
           print_case (&it);
         }
-  print_price ();
-  print_body_price ();
+  print_lookup_cost ();
+  print_fingerprint_cost ();
   return 0;
 }
--- a/bench/src/bench-reading.c
+++ b/bench/src/bench-reading.c
@@ -21,7 +21,7 @@
 /* Returns an answer in the format of the users' store. The last route's time-out depends
    on the version. */
 static GBytes *
-answer_of (guint routes, guint version)
+create_store_answer (guint routes, guint version)
 {
   GString *text = g_string_new (NULL);
 
@@ -53,7 +53,7 @@
 static double
 read_ms (guint routes, guint version)
 {
-  g_autoptr (GBytes) body = answer_of (routes, version);
+  g_autoptr (GBytes) body = create_store_answer (routes, version);
   StoreRawAnswer raw = { STORE_OK, 1, body };
   StoredReading *reading =
       stored_reading_create (STORED_LISTED, &raw, &defaults, version - 1);
--- a/bench/src/member-net.c
+++ b/bench/src/member-net.c
@@ -53,7 +53,7 @@
 
   net->count = count;
   net->halls = halls;
-  net->lost_hall = halls;
+  net->isolated_hall = halls;
   net->cut_from = NONE;
   net->cut_to = NONE;
   net->clock = clock_create_manual (0);
@@ -80,8 +80,8 @@
 {
   if (!net->nodes[to].runs || (from == net->cut_from && to == net->cut_to))
     return FALSE;
-  if ((net->nodes[from].hall == net->lost_hall) !=
-      (net->nodes[to].hall == net->lost_hall))
+  if ((net->nodes[from].hall == net->isolated_hall) !=
+      (net->nodes[to].hall == net->isolated_hall))
     return FALSE;
   return (guint)g_rand_int_range (net->rand, 0, 100) >= net->loss_percent;
 }
@@ -91,7 +91,7 @@
 {
   net->nodes[from].sent_bytes += bytes;
   if (net->nodes[from].hall != net->nodes[to].hall)
-    net->nodes[from].far_bytes += bytes;
+    net->nodes[from].other_hall_bytes += bytes;
 }
 
 static void
--- a/bench/src/member-net.h
+++ b/bench/src/member-net.h
@@ -15,7 +15,7 @@
   guint starts;
   guint64
       sent_bytes; /* estimated: news by members_news_size, and a constant per message */
-  guint64 far_bytes; /* the part of sent_bytes that went to other halls */
+  guint64 other_hall_bytes; /* the part of sent_bytes that went to other halls */
   guint64 messages;
 } NetNode;
 
@@ -26,11 +26,11 @@
   guint halls;
   Clock *clock;
   GRand *rand;
-  /* Faults: the one-way path from cut_from to cut_to is broken; lost_hall is isolated
+  /* Faults: the one-way path from cut_from to cut_to is broken; isolated_hall is isolated
      (`halls` for none); loss_percent of the messages are lost. */
   guint cut_from;
   guint cut_to;
-  guint lost_hall;
+  guint isolated_hall;
   guint loss_percent;
 } MemberNet;
 
--- a/bench/src/overload.c
+++ b/bench/src/overload.c
@@ -74,8 +74,8 @@
   gint64 given_up_us;
 } Sim;
 
-static void carry_out (Sim *sim, Request *request, DispatchStep step);
-static void try_plain (Sim *sim, Request *request);
+static void perform_step (Sim *sim, Request *request, DispatchStep step);
+static void send_unguarded (Sim *sim, Request *request);
 
 static gint
 compare_events (gconstpointer a, gconstpointer b, gpointer data)
@@ -175,8 +175,8 @@
 static void
 refused (Sim *sim, Request *request)
 {
-  carry_out (sim, request,
-             dispatch_sent (request->dispatch, DISPATCH_REFUSED, REASON_OVERLOAD, 0));
+  perform_step (sim, request,
+                dispatch_sent (request->dispatch, DISPATCH_REFUSED, REASON_OVERLOAD, 0));
 }
 
 static void
@@ -211,13 +211,13 @@
 }
 
 static void
-carry_out (Sim *sim, Request *request, DispatchStep step)
+perform_step (Sim *sim, Request *request, DispatchStep step)
 {
   switch (step.kind)
     {
     case DISPATCH_CHOOSE:
-      carry_out (sim, request,
-                 dispatch_chosen (request->dispatch, choose (sim, request), 0));
+      perform_step (sim, request,
+                    dispatch_chosen (request->dispatch, choose (sim, request), 0));
       break;
     case DISPATCH_SEND:
       send_guarded (sim, request);
@@ -241,10 +241,10 @@
   detector_observe (target->detector, &sample);
   admission_release (target->admission, target->sick ? -1 : SERVICE_US);
   if (!request->over)
-    carry_out (sim, request,
-               dispatch_sent (request->dispatch,
-                              target->sick ? DISPATCH_FAILED : DISPATCH_DONE,
-                              REASON_BROKEN, 0));
+    perform_step (sim, request,
+                  dispatch_sent (request->dispatch,
+                                 target->sick ? DISPATCH_FAILED : DISPATCH_DONE,
+                                 REASON_BROKEN, 0));
   while ((next = admission_expired (target->admission)))
     refused (sim, next);
   while ((next = admission_next (target->admission)))
@@ -254,7 +254,7 @@
 /* Sends without the fleet's mechanisms: round robin, unbounded queues, and retries
    without a budget. */
 static void
-try_plain (Sim *sim, Request *request)
+send_unguarded (Sim *sim, Request *request)
 {
   SimTarget *target;
 
@@ -277,13 +277,13 @@
 }
 
 static void
-served_plain (Sim *sim, Request *request, guint i)
+served_unguarded (Sim *sim, Request *request, guint i)
 {
   SimTarget *target = &sim->targets[i];
   Request *next = g_queue_pop_head (&target->queue);
 
   if (target->sick)
-    try_plain (sim, request);
+    send_unguarded (sim, request);
   else
     answer (sim, request, TRUE);
   if (!next)
@@ -318,9 +318,9 @@
   policy.deadline_us = request->deadline_us;
   request->dispatch = dispatch_create (&policy, sim->rand, sim->clock);
   if (sim->what->guarded)
-    carry_out (sim, request, dispatch_begin (request->dispatch));
+    perform_step (sim, request, dispatch_begin (request->dispatch));
   else
-    try_plain (sim, request);
+    send_unguarded (sim, request);
   release (request);
 }
 
@@ -336,11 +336,11 @@
       if (sim->what->guarded)
         served_guarded (sim, event->request, event->target);
       else
-        served_plain (sim, event->request, event->target);
+        served_unguarded (sim, event->request, event->target);
       break;
     case EVENT_RESUME:
       if (!event->request->over)
-        carry_out (sim, event->request, dispatch_resume (event->request->dispatch));
+        perform_step (sim, event->request, dispatch_resume (event->request->dispatch));
       break;
     default:
       answer (sim, event->request, FALSE);
@@ -381,8 +381,8 @@
   for (guint i = 0; i < TARGETS; i++)
     {
       sim.targets[i].admission = admission_create (SLOTS, QUEUE, sim.clock);
-      sim.targets[i].detector =
-          detector_create (what->blind ? DETECTION_OFF : DETECTION_QUICK, sim.clock);
+      sim.targets[i].detector = detector_create (
+          what->no_detection ? DETECTION_OFF : DETECTION_QUICK, sim.clock);
       sim.targets[i].sick = what->sick && i < TARGETS / 2;
     }
   run (&sim);
--- a/bench/src/overload.h
+++ b/bench/src/overload.h
@@ -14,7 +14,7 @@
   double load;      /* offered, as a multiple of the healthy capacity */
   gboolean sick;    /* half of the targets fail every request, after their usual time */
   gboolean guarded; /* use the fleet's mechanisms */
-  gboolean blind;   /* with `guarded`: leave out failure detection */
+  gboolean no_detection; /* with `guarded`: leave out failure detection */
 } OverloadCase;
 
 typedef struct
--- a/bench/src/quarantine-net.c
+++ b/bench/src/quarantine-net.c
@@ -10,7 +10,7 @@
 #define FAR_FANOUT 1u
 #define FIRST_STEPS 10u
 #define URGENT_STEPS 100u
-#define AGAIN_STEPS 600u
+#define REPEAT_STEPS 600u
 #define NEWS_MAX 4u
 /* Sizes by wire/switchmill.x: a message with its RPC header, token digest, sender, view
    digests and the IP and UDP headers; one entry without its crashes; one crash. */
@@ -25,12 +25,12 @@
 #define BUSY_STEPS_MAX 20
 #define HOMES 2u
 #define LOSS_PERCENT 5
-#define GONE_SHARE 10u
+#define STOPPED_DIVISOR 10u
 #define RACK_TARGETS 30u
-#define RACK_WORK 10u
-#define BESIDE 3u
-#define FIRST_END_STEP 100u
-#define END_GAP_STEPS 80u
+#define RACK_REQUESTS 10u
+#define OTHER_REQUESTS 3u
+#define FIRST_CRASH_STEP 100u
+#define CRASH_GAP_STEPS 80u
 
 typedef struct
 {
@@ -115,7 +115,7 @@
 }
 
 static void
-spread_soon (Sim *sim, guint node)
+schedule_spread (Sim *sim, guint node)
 {
   SimNode *own = &sim->nodes[node];
   QuarantineUrgency urgency = quarantine_urgency (own->list);
@@ -138,7 +138,7 @@
 }
 
 static guint
-some_node (Sim *sim, guint from, gboolean near)
+pick_random_node (Sim *sim, guint from, gboolean near)
 {
   for (;;)
     {
@@ -159,10 +159,10 @@
   if (quarantine_urgency (own->list) == QUARANTINE_NEWS_NONE)
     return;
   for (guint i = 0; i < NEAR_FANOUT; i++)
-    tell (sim, node, some_node (sim, node, TRUE));
+    tell (sim, node, pick_random_node (sim, node, TRUE));
   for (guint i = 0; i < FAR_FANOUT; i++)
-    tell (sim, node, some_node (sim, node, FALSE));
-  own->spread_step = sim->step + (own->spread_urgent ? URGENT_STEPS : AGAIN_STEPS);
+    tell (sim, node, pick_random_node (sim, node, FALSE));
+  own->spread_step = sim->step + (own->spread_urgent ? URGENT_STEPS : REPEAT_STEPS);
 }
 
 static void
@@ -176,7 +176,7 @@
   for (guint i = 0; i < message->count; i++)
     any |= quarantine_merge (to->list, &message->news[i]);
   if (any)
-    spread_soon (sim, message->to);
+    schedule_spread (sim, message->to);
 }
 
 static guint
@@ -196,7 +196,7 @@
   if (sim->it->way == QUARANTINE_WAY_SPREAD)
     {
       quarantine_note_end (sim->nodes[node].list, id, 1, 1, work);
-      spread_soon (sim, node);
+      schedule_spread (sim, node);
       return;
     }
   for (guint i = 0; i < work->len; i++)
@@ -218,7 +218,7 @@
 }
 
 static GArray *
-work_with (Sim *sim, gboolean with_deadly, guint others)
+create_work (Sim *sim, gboolean with_deadly, guint others)
 {
   GArray *work = g_array_new (FALSE, FALSE, sizeof (Fingerprint));
 
@@ -235,7 +235,7 @@
 
 /* Home nodes disseminate only quarantined requests: this discards the other news. */
 static void
-forget_news_of_suspects (Sim *sim, guint node)
+discard_suspect_news (Sim *sim, guint node)
 {
   QuarantineNews news[NEWS_MAX];
 
@@ -251,17 +251,17 @@
 
   quarantine_tick (own->list);
   if (sim->it->way == QUARANTINE_WAY_HOME)
-    forget_news_of_suspects (sim, node);
+    discard_suspect_news (sim, node);
   if (!own->held_us && quarantine_check (own->list, &deadly).state >= QUARANTINE_TRIAL)
     own->held_us = clock_now (sim->clock);
-  spread_soon (sim, node);
+  schedule_spread (sim, node);
 }
 
 /* A probe. If the digests differ, the answer has entries of the probed node's list. */
 static void
 probe (Sim *sim, guint node)
 {
-  guint other = some_node (sim, node, g_rand_int_range (sim->rand, 0, 4) > 0);
+  guint other = pick_random_node (sim, node, g_rand_int_range (sim->rand, 0, 4) > 0);
   SimNode *asked = &sim->nodes[other];
   Message *answer;
 
@@ -281,23 +281,23 @@
 }
 
 static void
-end_targets (Sim *sim)
+crash_targets (Sim *sim)
 {
-  guint since = sim->step - FIRST_END_STEP;
-  guint ends = since / END_GAP_STEPS;
+  guint since = sim->step - FIRST_CRASH_STEP;
+  guint ends = since / CRASH_GAP_STEPS;
 
-  if (sim->step >= FIRST_END_STEP && since % END_GAP_STEPS == 0 &&
+  if (sim->step >= FIRST_CRASH_STEP && since % CRASH_GAP_STEPS == 0 &&
       ends < QUARANTINE_ENDS_LIMIT)
     {
-      g_autoptr (GArray) work = work_with (sim, TRUE, BESIDE);
+      g_autoptr (GArray) work = create_work (sim, TRUE, OTHER_REQUESTS);
 
       note_end (sim, 1 + ends * (sim->it->nodes / 4), work);
     }
-  if (sim->it->pattern != QUARANTINE_RACK || sim->step != FIRST_END_STEP)
+  if (sim->it->pattern != QUARANTINE_RACK || sim->step != FIRST_CRASH_STEP)
     return;
   for (guint i = 0; i < RACK_TARGETS; i++)
     {
-      g_autoptr (GArray) work = work_with (sim, FALSE, RACK_WORK);
+      g_autoptr (GArray) work = create_work (sim, FALSE, RACK_REQUESTS);
 
       note_end (sim, (2 + i * sim->it->halls) % sim->it->nodes, work);
     }
@@ -308,7 +308,7 @@
 {
   GPtrArray *due = sim->due[sim->step];
 
-  end_targets (sim);
+  crash_targets (sim);
   for (guint i = 0; i < due->len; i++)
     deliver (sim, g_ptr_array_index (due, i));
   for (guint i = 0; i < sim->it->nodes; i++)
@@ -346,9 +346,10 @@
     {
       sim->nodes[i].list = quarantine_create (sim->clock);
       /* Nodes that detect a crash keep running; home node 0 stops as well. */
-      sim->nodes[i].runs = !is_joining (sim, i) &&
-                           !(it->pattern == QUARANTINE_GONE &&
-                             (i % GONE_SHARE == 3 || i == home_of (sim, &deadly, 0)));
+      sim->nodes[i].runs =
+          !is_joining (sim, i) &&
+          !(it->pattern == QUARANTINE_GONE &&
+            (i % STOPPED_DIVISOR == 3 || i == home_of (sim, &deadly, 0)));
     }
   return sim;
 }
@@ -368,7 +369,7 @@
 }
 
 static guint
-held_innocent (const Sim *sim, guint node)
+count_wrongly_held (const Sim *sim, guint node)
 {
   const GArray *entries = quarantine_entries (sim->nodes[node].list);
   guint held = 0;
@@ -385,7 +386,7 @@
 static QuarantineResult
 measure (const Sim *sim)
 {
-  guint third = FIRST_END_STEP + END_GAP_STEPS * (QUARANTINE_ENDS_LIMIT - 1);
+  guint third = FIRST_CRASH_STEP + CRASH_GAP_STEPS * (QUARANTINE_ENDS_LIMIT - 1);
   gint64 third_us = 1000 * SECOND_US + third * STEP_US;
   QuarantineResult result = { 0 };
   guint64 bytes = 0;
@@ -398,7 +399,7 @@
 
       bytes += node->bytes;
       result.worst_bytes = MAX (result.worst_bytes, (double)node->bytes);
-      result.innocent += held_innocent (sim, i);
+      result.innocent += count_wrongly_held (sim, i);
       if (!node->runs || result.last_us < 0)
         continue;
       result.last_us =
--- a/bench/src/traces.c
+++ b/bench/src/traces.c
@@ -7,7 +7,7 @@
 #define BASE_FAILURES 0.002
 #define FLAP_US (3 * SECOND_US)
 #define BURST 5u
-#define SLOW_SPELL_US (20 * SECOND_US)
+#define SLOW_PHASE_US (20 * SECOND_US)
 #define TRIAL_EVERY_US (SECOND_US / 2)
 #define PROBE_EVERY_US SECOND_US
 #define PROBES_TO_EJECT 3u
@@ -60,12 +60,12 @@
   if (sim->kind == TRACE_FLAPPING)
     return (since / FLAP_US) % 2 == 0;
   if (sim->kind == TRACE_ALL_SLOW)
-    return since < SLOW_SPELL_US;
+    return since < SLOW_PHASE_US;
   return TRUE;
 }
 
 static double
-failure_share (const Sim *sim, guint i)
+failure_probability (const Sim *sim, guint i)
 {
   static const double shares[TRACE_COUNT] = { [TRACE_GRAY_5] = 0.05,
                                               [TRACE_GRAY_20] = 0.2,
@@ -156,7 +156,7 @@
   SimTarget *target = &sim->targets[i];
   DetectorSample sample = { 0 };
 
-  sample.failed = g_rand_double (sim->rand) < failure_share (sim, i);
+  sample.failed = g_rand_double (sim->rand) < failure_probability (sim, i);
   if (target->burst_left > 0 && clock_now (sim->clock) >= sim->shape->fault_us)
     {
       target->burst_left--;
@@ -165,7 +165,7 @@
   sample.took_us =
       (gint64)(BASE_US * slow_factor (sim, i) * exp (SPREAD * normal (sim->rand)));
   if (i == 0 && trace_has_fault (sim->kind) && in_fault (sim))
-    sim->result.sick_work++;
+    sim->result.fault_requests++;
   if (!target->detector)
     return;
   fill_siblings (sim, &sample);
@@ -178,14 +178,14 @@
 probe (Sim *sim, guint i)
 {
   SimTarget *target = &sim->targets[i];
-  gboolean bad = i == 0 && in_fault (sim) && sim->kind == TRACE_PROBES_LIE;
+  gboolean bad = i == 0 && in_fault (sim) && sim->kind == TRACE_FALSE_PROBES;
 
   target->bad_probes = bad ? target->bad_probes + 1 : 0;
   note (sim, i, target->bad_probes >= PROBES_TO_EJECT);
 }
 
 static void
-move_target (Sim *sim, guint i)
+step_target (Sim *sim, guint i)
 {
   SimTarget *target = &sim->targets[i];
   gint64 now = clock_now (sim->clock);
@@ -210,11 +210,11 @@
 }
 
 TraceResult
-trace_play (TraceKind kind,
-            const TraceShape *shape,
-            DetectorKind detector,
-            Detection setting,
-            guint seed)
+trace_run (TraceKind kind,
+           const TraceShape *shape,
+           DetectorKind detector,
+           Detection setting,
+           guint seed)
 {
   Sim sim = { .kind = kind,
               .shape = shape,
@@ -230,7 +230,7 @@
   while (clock_now (sim.clock) < shape->length_us)
     {
       for (guint i = 0; i < shape->targets; i++)
-        move_target (&sim, i);
+        step_target (&sim, i);
       clock_advance (sim.clock, MS_US);
     }
   for (guint i = 0; i < shape->targets; i++)
--- a/bench/src/traces.h
+++ b/bench/src/traces.h
@@ -16,9 +16,9 @@
   TRACE_SLOW_2,
   TRACE_SLOW_10,
   TRACE_FLAPPING,
-  TRACE_NOISE,      /* a burst of five failures on a healthy target */
-  TRACE_ALL_SLOW,   /* the whole service five times slower for a while */
-  TRACE_PROBES_LIE, /* health checks fail although requests succeed */
+  TRACE_NOISE,        /* a burst of five failures on a healthy target */
+  TRACE_ALL_SLOW,     /* the whole service five times slower for a while */
+  TRACE_FALSE_PROBES, /* health checks fail although requests succeed */
   TRACE_COUNT
 } TraceKind;
 
@@ -38,14 +38,14 @@
 {
   gint64 detected_us;    /* from the fault to its detection; -1 if never detected */
   guint false_ejections; /* number of times that a healthy target was ejected */
-  gint64 sick_work;      /* requests sent to the faulty target during the fault */
+  gint64 fault_requests; /* requests sent to the faulty target during the fault */
 } TraceResult;
 
 /* DETECTOR_KINDS as `detector` selects the baseline, which uses health checks only. */
-TraceResult trace_play (TraceKind kind,
-                        const TraceShape *shape,
-                        DetectorKind detector,
-                        Detection setting,
-                        guint seed);
+TraceResult trace_run (TraceKind kind,
+                       const TraceShape *shape,
+                       DetectorKind detector,
+                       Detection setting,
+                       guint seed);
 
 #endif
--- a/bench/tests/test-allowance-net.c
+++ b/bench/tests/test-allowance-net.c
@@ -20,7 +20,7 @@
 }
 
 static void
-test_no_window_is_over_the_bound (void **state)
+test_no_window_exceeds_the_bound (void **state)
 {
   for (guint pattern = 0; pattern < ALLOWANCE_PATTERNS; pattern++)
     for (gsize i = 0; i < G_N_ELEMENTS (sizes); i++)
@@ -31,19 +31,19 @@
 /* Demand below the allowance is let through, also when the callers move between halls,
    and for an account of one request a second whose callers use any of 1,200 nodes. */
 static void
-test_nothing_within_is_refused (void **state)
+test_requests_within_the_allowance_pass (void **state)
 {
   for (gsize i = 0; i < G_N_ELEMENTS (sizes); i++)
     {
       assert_true (run (ALLOWANCE_STEADY, sizes[i], 3).refused < 0.001);
       assert_true (run (ALLOWANCE_SMALL, sizes[i], 3).refused < 0.001);
       assert_true (run (ALLOWANCE_MOVING, sizes[i], 3).refused < 0.03);
-      assert_true (run (ALLOWANCE_MOVING, sizes[i], 3).moved_ms < 50);
+      assert_true (run (ALLOWANCE_MOVING, sizes[i], 3).longest_wait_ms < 50);
     }
 }
 
 static void
-test_a_hot_account_gets_what_is_its_own (void **state)
+test_a_hot_account_gets_its_allowance (void **state)
 {
   for (gsize i = 0; i < G_N_ELEMENTS (sizes); i++)
     {
@@ -54,7 +54,7 @@
 }
 
 static void
-test_it_costs_few_bytes (void **state)
+test_allowance_traffic_is_bounded (void **state)
 {
   assert_true (run (ALLOWANCE_STEADY, 93, 5).bytes < 150);
   assert_true (run (ALLOWANCE_ALL, 1200, 5).bytes < 500);
@@ -64,10 +64,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_no_window_is_over_the_bound),
-    cmocka_unit_test (test_nothing_within_is_refused),
-    cmocka_unit_test (test_a_hot_account_gets_what_is_its_own),
-    cmocka_unit_test (test_it_costs_few_bytes),
+    cmocka_unit_test (test_no_window_exceeds_the_bound),
+    cmocka_unit_test (test_requests_within_the_allowance_pass),
+    cmocka_unit_test (test_a_hot_account_gets_its_allowance),
+    cmocka_unit_test (test_allowance_traffic_is_bounded),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/bench/tests/test-detector.c
+++ b/bench/tests/test-detector.c
@@ -25,11 +25,11 @@
 };
 
 static void
-expect_found (TraceKind kind, Detection setting, gint64 bound_ms)
+expect_detected (TraceKind kind, Detection setting, gint64 bound_ms)
 {
   for (guint seed = 1; seed <= SEEDS; seed++)
     {
-      TraceResult result = trace_play (kind, &payments, DETECTOR_CUSUM, setting, seed);
+      TraceResult result = trace_run (kind, &payments, DETECTOR_CUSUM, setting, seed);
 
       if (result.detected_us < 0 || result.detected_us > bound_ms * MS_US)
         fail_msg ("%s, seed %u: %" G_GINT64_FORMAT " ms", trace_name (kind), seed,
@@ -42,8 +42,8 @@
 {
   for (gsize i = 0; i < G_N_ELEMENTS (bounds); i++)
     {
-      expect_found (bounds[i].kind, DETECTION_CAREFUL, bounds[i].careful_ms);
-      expect_found (bounds[i].kind, DETECTION_QUICK, bounds[i].quick_ms);
+      expect_detected (bounds[i].kind, DETECTION_CAREFUL, bounds[i].careful_ms);
+      expect_detected (bounds[i].kind, DETECTION_QUICK, bounds[i].quick_ms);
     }
 }
 
@@ -53,7 +53,7 @@
   for (TraceKind kind = 0; kind < TRACE_COUNT; kind++)
     for (guint seed = 1; seed <= SEEDS; seed++)
       assert_int_equal (
-          trace_play (kind, &payments, DETECTOR_CUSUM, DETECTION_CAREFUL, seed)
+          trace_run (kind, &payments, DETECTOR_CUSUM, DETECTION_CAREFUL, seed)
               .false_ejections,
           0);
 }
@@ -71,7 +71,7 @@
 }
 
 static void
-test_return_needs_good_work_and_time (void **state)
+test_return_needs_successes_and_time (void **state)
 {
   Clock *clock = clock_create_manual (0);
   Detector *detector = detector_create (DETECTION_CAREFUL, clock);
@@ -88,7 +88,7 @@
 }
 
 static gint64
-time_held (Detector *detector, Clock *clock)
+ejection_time_us (Detector *detector, Clock *clock)
 {
   gint64 since = clock_now (clock);
 
@@ -98,7 +98,7 @@
 }
 
 static void
-test_flapping_is_held_longer_each_time_and_idle_targets_return (void **state)
+test_flapping_extends_the_ejection_and_idle_targets_return (void **state)
 {
   Clock *clock = clock_create_manual (0);
   Detector *detector = detector_create (DETECTION_CAREFUL, clock);
@@ -107,10 +107,10 @@
 
   clock_advance (clock, 100 * SECOND_US);
   feed (detector, clock, 30, TRUE);
-  first = time_held (detector, clock);
+  first = ejection_time_us (detector, clock);
   feed (detector, clock, 30, TRUE);
   assert_true (detector_severity (detector) > 0);
-  second = time_held (detector, clock);
+  second = ejection_time_us (detector, clock);
   assert_true (second >= 2 * first - SECOND_US);
   detector_destroy (detector);
   clock_destroy (clock);
@@ -122,8 +122,8 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_faults_are_found_in_time),
     cmocka_unit_test (test_careful_never_ejects_a_healthy_target),
-    cmocka_unit_test (test_return_needs_good_work_and_time),
-    cmocka_unit_test (test_flapping_is_held_longer_each_time_and_idle_targets_return),
+    cmocka_unit_test (test_return_needs_successes_and_time),
+    cmocka_unit_test (test_flapping_extends_the_ejection_and_idle_targets_return),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/bench/tests/test-members.c
+++ b/bench/tests/test-members.c
@@ -59,7 +59,7 @@
 }
 
 static void
-test_killed_node_is_dead_and_comes_back_anew (void **state)
+test_killed_node_is_dead_and_rejoins (void **state)
 {
   MemberNet *net = joined (2);
 
@@ -74,7 +74,7 @@
 }
 
 static void
-test_restart_that_nobody_noticed_is_known_anew (void **state)
+test_unnoticed_restart_is_learned (void **state)
 {
   for (guint seed = 20; seed < 28; seed++)
     {
@@ -92,7 +92,7 @@
 }
 
 static void
-test_frozen_node_overrules_its_death_when_it_thaws (void **state)
+test_resumed_node_refutes_its_death (void **state)
 {
   MemberNet *net = joined (3);
   guint64 incarnation = members_self (net->nodes[9].members)->incarnation;
@@ -109,7 +109,7 @@
 }
 
 static void
-test_one_way_cut_between_two_kills_nobody (void **state)
+test_one_way_cut_causes_no_deaths (void **state)
 {
   MemberNet *net = joined (4);
 
@@ -128,18 +128,18 @@
 }
 
 static void
-test_hall_goes_for_an_hour_and_comes_back (void **state)
+test_hall_rejoins_after_an_hour (void **state)
 {
   MemberNet *net = joined (5);
 
-  net->lost_hall = 1;
+  net->isolated_hall = 1;
   member_net_run (net, 60);
   /* Each side sees the other side's nodes as dead and its own as alive. */
   assert_false (member_net_sees (net, 0, 1));
   assert_false (member_net_sees (net, 1, 0));
   assert_true (member_net_sees (net, 1, 5));
   member_net_run (net, 3600);
-  net->lost_hall = HALLS;
+  net->isolated_hall = HALLS;
   member_net_run (net, 120);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (members_count_alive (net->nodes[i].members), NODES);
@@ -178,12 +178,12 @@
 }
 
 static guint64
-far_bytes (const MemberNet *net)
+other_hall_bytes (const MemberNet *net)
 {
   guint64 bytes = 0;
 
   for (guint i = 0; i < net->count; i++)
-    bytes += net->nodes[i].far_bytes;
+    bytes += net->nodes[i].other_hall_bytes;
   return bytes;
 }
 
@@ -199,7 +199,7 @@
   for (guint i = 0; i < NODES; i++)
     members_publish (net->nodes[i].members, payload, NULL);
   member_net_run (net, 20);
-  before = far_bytes (net);
+  before = other_hall_bytes (net);
   for (guint second = 0; second < 20; second++)
     {
       g_autoptr (GBytes) state = g_bytes_new (&second, sizeof second);
@@ -207,7 +207,7 @@
       members_publish (net->nodes[second].members, payload, state);
       member_net_run (net, 1);
     }
-  assert_in_range (far_bytes (net) - before, 1, 20 * NODES * 8 * 170 / 4);
+  assert_in_range (other_hall_bytes (net) - before, 1, 20 * NODES * 8 * 170 / 4);
   member_net_destroy (net);
 }
 
@@ -240,7 +240,7 @@
 }
 
 static void
-test_heavy_loss_kills_nobody_for_long (void **state)
+test_heavy_loss_causes_no_lasting_deaths (void **state)
 {
   MemberNet *net = joined (7);
 
@@ -259,15 +259,15 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_all_find_each_other_from_two_seeds_and_agree),
     cmocka_unit_test (test_a_comparison_of_views_is_bounded),
-    cmocka_unit_test (test_killed_node_is_dead_and_comes_back_anew),
-    cmocka_unit_test (test_restart_that_nobody_noticed_is_known_anew),
-    cmocka_unit_test (test_frozen_node_overrules_its_death_when_it_thaws),
-    cmocka_unit_test (test_one_way_cut_between_two_kills_nobody),
-    cmocka_unit_test (test_hall_goes_for_an_hour_and_comes_back),
+    cmocka_unit_test (test_killed_node_is_dead_and_rejoins),
+    cmocka_unit_test (test_unnoticed_restart_is_learned),
+    cmocka_unit_test (test_resumed_node_refutes_its_death),
+    cmocka_unit_test (test_one_way_cut_causes_no_deaths),
+    cmocka_unit_test (test_hall_rejoins_after_an_hour),
     cmocka_unit_test (test_published_data_reaches_all_members),
     cmocka_unit_test (test_state_changes_are_sent_as_deltas),
     cmocka_unit_test (test_mismatched_deltas_are_ignored),
-    cmocka_unit_test (test_heavy_loss_kills_nobody_for_long),
+    cmocka_unit_test (test_heavy_loss_causes_no_lasting_deaths),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/bench/tests/test-overload.c
+++ b/bench/tests/test-overload.c
@@ -23,7 +23,7 @@
 }
 
 static void
-test_what_matters_most_is_served_first (void **state)
+test_high_priority_is_served_first (void **state)
 {
   OverloadCase with = { 2, FALSE, TRUE };
   OverloadResult result = overload_run (&with, 7);
@@ -33,7 +33,7 @@
 }
 
 static void
-test_given_up_requests_hear_at_once (void **state)
+test_failed_requests_are_answered_quickly (void **state)
 {
   OverloadCase with = { 4, FALSE, TRUE };
 
@@ -58,10 +58,10 @@
 }
 
 static void
-test_retries_stay_a_share_when_nothing_is_ejected (void **state)
+test_retries_are_bounded_without_ejection (void **state)
 {
-  OverloadCase blind = { 0.5, TRUE, TRUE, TRUE };
-  OverloadResult result = overload_run (&blind, 7);
+  OverloadCase no_detection = { 0.5, TRUE, TRUE, TRUE };
+  OverloadResult result = overload_run (&no_detection, 7);
 
   assert_true (result.attempts > 1.1);
   assert_true (result.attempts < 1.25);
@@ -72,10 +72,10 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_goodput_holds_over_capacity),
-    cmocka_unit_test (test_what_matters_most_is_served_first),
-    cmocka_unit_test (test_given_up_requests_hear_at_once),
+    cmocka_unit_test (test_high_priority_is_served_first),
+    cmocka_unit_test (test_failed_requests_are_answered_quickly),
     cmocka_unit_test (test_no_retry_storm_with_half_the_targets_sick),
-    cmocka_unit_test (test_retries_stay_a_share_when_nothing_is_ejected),
+    cmocka_unit_test (test_retries_are_bounded_without_ejection),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/bench/tests/test-quarantine-net.c
+++ b/bench/tests/test-quarantine-net.c
@@ -24,14 +24,14 @@
 }
 
 static void
-test_everybody_knows_in_time (void **state)
+test_all_nodes_quarantine_in_time (void **state)
 {
   check (QUARANTINE_PLAIN, 93, 3);
   check (QUARANTINE_PLAIN, 353, 5);
 }
 
 static void
-test_lost_messages_delay_nobody_too_long (void **state)
+test_quarantine_is_in_time_with_message_loss (void **state)
 {
   check (QUARANTINE_LOSS, 93, 3);
   check (QUARANTINE_LOSS, 353, 5);
@@ -39,7 +39,7 @@
 
 /* One node in ten has stopped without being noticed yet. */
 static void
-test_nodes_that_have_gone_hold_nothing_up (void **state)
+test_quarantine_is_in_time_with_stopped_nodes (void **state)
 {
   check (QUARANTINE_GONE, 93, 3);
   check (QUARANTINE_GONE, 353, 5);
@@ -47,14 +47,14 @@
 
 /* The 300 requests of a rack that crashed compete for the 64 entries of the list. */
 static void
-test_a_rack_that_ends_hides_nothing (void **state)
+test_quarantine_is_in_time_during_a_rack_crash (void **state)
 {
   check (QUARANTINE_RACK, 93, 3);
   check (QUARANTINE_RACK, 353, 5);
 }
 
 static void
-test_a_node_that_starts_hears_of_it (void **state)
+test_a_joining_node_learns_the_quarantine (void **state)
 {
   check (QUARANTINE_JOIN, 93, 3);
 }
@@ -63,11 +63,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_everybody_knows_in_time),
-    cmocka_unit_test (test_lost_messages_delay_nobody_too_long),
-    cmocka_unit_test (test_nodes_that_have_gone_hold_nothing_up),
-    cmocka_unit_test (test_a_rack_that_ends_hides_nothing),
-    cmocka_unit_test (test_a_node_that_starts_hears_of_it),
+    cmocka_unit_test (test_all_nodes_quarantine_in_time),
+    cmocka_unit_test (test_quarantine_is_in_time_with_message_loss),
+    cmocka_unit_test (test_quarantine_is_in_time_with_stopped_nodes),
+    cmocka_unit_test (test_quarantine_is_in_time_during_a_rack_crash),
+    cmocka_unit_test (test_a_joining_node_learns_the_quarantine),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-allowance.c
+++ b/core/tests/test-allowance.c
@@ -18,7 +18,7 @@
 static const AllowanceRule rule = { WINDOW_US, 0.1, 20 };
 
 static double
-bound_of (const AllowanceTerms *terms)
+window_bound (const AllowanceTerms *terms)
 {
   double window = (double)rule.window_us / SECOND_US;
 
@@ -55,7 +55,7 @@
     {
       AllowanceRate rate = allowance_rate (&rule, &cases[i], 1);
 
-      assert_true (rate.per_s * span + rate.depth < bound_of (&cases[i]));
+      assert_true (rate.per_s * span + rate.depth < window_bound (&cases[i]));
       assert_true (rate.depth >= 1);
       /* In the long run nearly the account's whole rate is lent. */
       assert_true (rate.per_s >= 0.95 * cases[i].per_s);
@@ -82,7 +82,7 @@
       all += lent;
       clock_advance (clock, STEP_US);
     }
-  assert_true (worst_window (passed, STEPS + hold) <= bound_of (&terms));
+  assert_true (worst_window (passed, STEPS + hold) <= window_bound (&terms));
   assert_true (all >= 0.95 * terms.per_s * STEPS * STEP_US / SECOND_US);
   allowance_book_destroy (book);
   clock_destroy (clock);
@@ -108,7 +108,7 @@
           allowance_book_lend (book, ACCOUNT, &terms, 1, clock_now (clock), MANY).lent;
       clock_advance (clock, STEP_US);
     }
-  assert_true (worst_window (passed, STEPS) <= bound_of (&terms));
+  assert_true (worst_window (passed, STEPS) <= window_bound (&terms));
   allowance_book_destroy (book);
   clock_destroy (clock);
 }
@@ -128,7 +128,7 @@
       passed[i] = allowance_book_lend (book, ACCOUNT, &low, 1, 0, MANY).lent;
       clock_advance (clock, STEP_US);
     }
-  assert_true (worst_window (passed, STEPS) <= bound_of (&low));
+  assert_true (worst_window (passed, STEPS) <= window_bound (&low));
   allowance_book_destroy (book);
   clock_destroy (clock);
 }
--- a/core/tests/test-fence.c
+++ b/core/tests/test-fence.c
@@ -179,17 +179,17 @@
     }
 }
 
-static void carry_out (World *world);
+static void perform_step (World *world);
 
 static void
 take_step (World *world, DispatchStep step)
 {
   world->step = step;
-  carry_out (world);
+  perform_step (world);
 }
 
 static void
-carry_out (World *world)
+perform_step (World *world)
 {
   FakeSidecar *sidecar;
 
--- a/daemon/src/account/allowance-fleet.c
+++ b/daemon/src/account/allowance-fleet.c
@@ -15,7 +15,7 @@
 #define LIST_USED_US (3 * SECOND_US)
 /* Shares refer to the largest fleet seen within this time. Nodes that are cut off are
    detected within seconds, and later rejoin or count as having left. */
-#define MOST_KEPT_US (30 * SECOND_US)
+#define FLEET_SIZE_KEPT_US (30 * SECOND_US)
 
 struct AllowanceFleet
 {
@@ -26,7 +26,7 @@
   gboolean includes_list; /* `nodes` includes the platform's list */
   gint64 changed_us;
   guint most;
-  gint64 most_until_us;
+  gint64 fleet_size_until_us;
 };
 
 AllowanceFleet *
@@ -57,10 +57,10 @@
 static void
 note_fleet_size (AllowanceFleet *fleet, gint64 now_us)
 {
-  if (fleet->nodes->len < fleet->most && now_us < fleet->most_until_us)
+  if (fleet->nodes->len < fleet->most && now_us < fleet->fleet_size_until_us)
     return;
   fleet->most = fleet->nodes->len;
-  fleet->most_until_us = now_us + MOST_KEPT_US;
+  fleet->fleet_size_until_us = now_us + FLEET_SIZE_KEPT_US;
 }
 
 static gint64
--- a/model/allowance.pml
+++ b/model/allowance.pml
@@ -63,7 +63,7 @@
   held[0] = 0
 }
 
-inline start_again ()
+inline restart_lender ()
 {
 #ifdef NO_EMPTY_START
   level[lender] = DEPTH
@@ -93,7 +93,7 @@
      atomic {
        fill (lender);
        if
-       :: start_again ()
+       :: restart_lender ()
        :: !moved -> move (); moved = true
        :: skip
        fi;
--- a/standins/src/load.c
+++ b/standins/src/load.c
@@ -42,7 +42,7 @@
 
 static Loop *loop;
 static HttpClient *client;
-static GRand *dice;
+static GRand *rng;
 static GPtrArray *classes;
 static const char **urls;
 static guint url_count;
@@ -141,7 +141,7 @@
 
   for (guint i = 0; i < classes->len; i++)
     weights += ((Class *)g_ptr_array_index (classes, i))->weight;
-  at = g_rand_int_range (dice, 0, (gint32)weights);
+  at = g_rand_int_range (rng, 0, (gint32)weights);
   for (guint i = 0; i < classes->len; i++)
     {
       Class *class = g_ptr_array_index (classes, i);
@@ -173,7 +173,7 @@
   body = g_malloc (class->body_len + 1);
   for (gsize i = 0; i < class->body_len; i += sizeof (guint32))
     {
-      guint32 word = g_rand_int (dice);
+      guint32 word = g_rand_int (rng);
 
       memcpy (body + i, &word, MIN (sizeof word, class->body_len - i));
     }
@@ -214,7 +214,7 @@
 }
 
 static void
-on_give_up (gpointer data)
+on_drain_timeout (gpointer data)
 {
   loop_quit (loop);
 }
@@ -293,7 +293,7 @@
   loop = loop_create (clock_create_boottime ());
   client = http_client_create (loop);
   pace = loop_timer_create (loop, on_pace, NULL);
-  give_up = loop_timer_create (loop, on_give_up, NULL);
+  give_up = loop_timer_create (loop, on_drain_timeout, NULL);
   end_us = now () + (gint64)(seconds * SECOND_US);
   next_us = now ();
   loop_timer_start (give_up, (gint64)(seconds * SECOND_US) + DRAIN_US);
@@ -362,7 +362,7 @@
   url_count = (guint)to->count;
   concurrency = parallel->count ? (guint)parallel->ival[0] : 16;
   rate = per_second->count ? (guint)per_second->ival[0] : 0;
-  dice = g_rand_new_with_seed (seed->count ? (guint32)seed->ival[0] : 1);
+  rng = g_rand_new_with_seed (seed->count ? (guint32)seed->ival[0] : 1);
   run_name = g_strdup_printf ("%08x", g_random_int ());
   if (account->count)
     authorization = g_strconcat ("Bearer ", account->sval[0], NULL);
--- a/standins/src/relay.c
+++ b/standins/src/relay.c
@@ -162,7 +162,7 @@
 }
 
 static Flow *
-flow_of (const struct sockaddr_in *peer)
+ensure_flow (const struct sockaddr_in *peer)
 {
   struct sockaddr_in to;
   Flow *flow;
@@ -193,7 +193,7 @@
   gssize n;
 
   while ((n = recvfrom (fd, chunk, sizeof chunk, 0, (struct sockaddr *)&peer, &len)) >= 0)
-    if (forth && send (flow_of (&peer)->fd, chunk, (gsize)n, MSG_NOSIGNAL) < 0)
+    if (forth && send (ensure_flow (&peer)->fd, chunk, (gsize)n, MSG_NOSIGNAL) < 0)
       g_debug ("cannot forward a datagram to the target");
 }
 
@@ -214,7 +214,7 @@
 }
 
 static void
-hush_all (void)
+silence_connections (void)
 {
   for (guint i = 0; i < pairs->len; i++)
     {
@@ -239,7 +239,7 @@
   if (http_request_argument (request, "reset"))
     reset_all ();
   if (http_request_argument (request, "hush"))
-    hush_all ();
+    silence_connections ();
   for (guint i = pairs->len; i-- > 0;)
     settle (g_ptr_array_index (pairs, i));
   http_request_answer_json (request, 200, "{}\n");
--- a/standins/src/target-conn.c
+++ b/standins/src/target-conn.c
@@ -112,7 +112,7 @@
 /* Takes the id of a request in the platform's dialect, which is counted and answered
    under that id. */
 static void
-note_dialect (TargetConn *conn, char **lines, char **seen)
+take_dialect_id (TargetConn *conn, char **lines, char **seen)
 {
   char *line = NULL;
   char *id;
@@ -155,6 +155,6 @@
   conn->id = target_header (lines, "X-Request-Id");
   g_free (conn->attempt);
   conn->attempt = target_header (lines, "Switchmill-Attempt");
-  note_dialect (conn, lines, seen);
+  take_dialect_id (conn, lines, seen);
   return TRUE;
 }
--- a/standins/src/target-runs.c
+++ b/standins/src/target-runs.c
@@ -37,7 +37,7 @@
 }
 
 guint
-target_runs_of (const TargetRuns *runs, const char *id)
+target_runs_count (const TargetRuns *runs, const char *id)
 {
   return GPOINTER_TO_UINT (g_hash_table_lookup (runs->counts, id));
 }
@@ -51,7 +51,7 @@
   record (runs, id, expected, now_us);
   if (!id)
     return;
-  count = target_runs_of (runs, id) + 1;
+  count = target_runs_count (runs, id) + 1;
   g_hash_table_insert (runs->counts, g_strdup (id), GUINT_TO_POINTER (count));
 }
 
--- a/standins/src/target-runs.h
+++ b/standins/src/target-runs.h
@@ -20,7 +20,7 @@
 target_runs_add (TargetRuns *runs, const char *id, const char *expected, gint64 now_us);
 
 /* Returns how often a request id was executed. */
-guint target_runs_of (const TargetRuns *runs, const char *id);
+guint target_runs_count (const TargetRuns *runs, const char *id);
 
 /* Returns totals as JSON, with `busy`, the slots in use, and `peak`, the most that were
    in use at once; the caller frees it. */
--- a/standins/src/target.c
+++ b/standins/src/target.c
@@ -47,7 +47,7 @@
 #include "target-runs.h"
 
 static Loop *loop;
-static GRand *dice;
+static GRand *rng;
 static guint slots;
 static guint busy;
 static guint peak;
@@ -58,7 +58,7 @@
 static char *seen; /* answer to /_seen */
 static char *head; /* answer to /_head */
 
-static void next_waiting (void);
+static void start_queued (void);
 static void take_request (TargetConn *conn);
 
 static gint64
@@ -89,7 +89,7 @@
 {
   release (conn);
   target_conn_destroy (conn);
-  next_waiting ();
+  start_queued ();
 }
 
 static void
@@ -97,8 +97,7 @@
 {
   gboolean faulty = faults_on ();
   TargetAnswer kind = faulty ? faults.answer : TARGET_WHOLE;
-  gboolean error =
-      faulty && (guint)g_rand_int_range (dice, 0, 100) < faults.error_percent;
+  gboolean error = faulty && (guint)g_rand_int_range (rng, 0, 100) < faults.error_percent;
   g_autofree char *body = target_conn_body (conn, name);
 
   if (error)
@@ -155,7 +154,7 @@
     return;
   release (conn);
   target_conn_drop_request (conn);
-  next_waiting ();
+  start_queued ();
   if (!conn->closing && conn->in->len > 0)
     take_request (conn);
 }
@@ -166,17 +165,17 @@
   gint64 span = faults.latency_us;
 
   if (faults_on () && faults.slow_us > 0 &&
-      (guint)g_rand_int_range (dice, 0, 100) < faults.slow_percent)
+      (guint)g_rand_int_range (rng, 0, 100) < faults.slow_percent)
     span = faults.slow_us;
   busy++;
   peak = MAX (peak, busy);
   conn->busy = TRUE;
   target_runs_add (runs, conn->id, conn->expected, now ());
-  loop_timer_start (conn->timer, (gint64)(span * g_rand_double_range (dice, 0.8, 1.2)));
+  loop_timer_start (conn->timer, (gint64)(span * g_rand_double_range (rng, 0.8, 1.2)));
 }
 
 static void
-next_waiting (void)
+start_queued (void)
 {
   while (busy < slots && waiting.head)
     {
@@ -193,12 +192,12 @@
   g_autofree char *id = target_query_text (path, "id");
 
   if (id)
-    return g_strdup_printf ("%u\n", target_runs_of (runs, id));
+    return g_strdup_printf ("%u\n", target_runs_count (runs, id));
   return target_runs_totals (runs, busy, peak);
 }
 
 static void
-answer_own (TargetConn *conn)
+answer_control (TargetConn *conn)
 {
   g_autofree char *text = NULL;
 
@@ -235,7 +234,7 @@
     {
       if (g_str_has_prefix (conn->path, "/_"))
         {
-          answer_own (conn);
+          answer_control (conn);
           continue;
         }
       g_free (head);
@@ -302,7 +301,7 @@
     }
   signal (SIGPIPE, SIG_IGN);
   loop = loop_create (clock_create_boottime ());
-  dice = g_rand_new_with_seed (argc > 4 ? (guint32)atoi (argv[4]) : 1);
+  rng = g_rand_new_with_seed (argc > 4 ? (guint32)atoi (argv[4]) : 1);
   name = g_strdup (argv[1]);
   slots = (guint)atoi (argv[2]);
   if (argc > 3)
