--- a/client/src/commands-logs.c
+++ b/client/src/commands-logs.c
@@ -10,16 +10,16 @@
 #include "outcomes.h"
 
 /* Handles a line of a log. */
-typedef void (*TakeLine) (gpointer data, const char *line, gssize len);
+typedef void (*LogLineFunc) (gpointer data, const char *line, gssize len);
 
 static void
-take_explained (gpointer data, const char *line, gssize len)
+add_to_explanation (gpointer data, const char *line, gssize len)
 {
   explanation_add (data, line, len);
 }
 
 static void
-take_counted (gpointer data, const char *line, gssize len)
+add_to_outcomes (gpointer data, const char *line, gssize len)
 {
   request_outcomes_add (data, line, len);
 }
@@ -27,10 +27,10 @@
 /* Reads a file, or standard input for "-". Prints a message and returns FALSE if the file
    cannot be opened. */
 static gboolean
-read_log (const char *path, TakeLine take, gpointer data)
+read_log (const char *path, LogLineFunc take, gpointer data)
 {
-  gboolean is_input = strcmp (path, "-") == 0;
-  FILE *file = is_input ? stdin : fopen (path, "r");
+  gboolean is_stdin = strcmp (path, "-") == 0;
+  FILE *file = is_stdin ? stdin : fopen (path, "r");
   char *line = NULL;
   size_t size = 0;
   ssize_t len;
@@ -43,7 +43,7 @@
   while ((len = getline (&line, &size, file)) >= 0)
     take (data, line, len);
   free (line);
-  if (!is_input)
+  if (!is_stdin)
     fclose (file);
   return TRUE;
 }
@@ -51,7 +51,7 @@
 /* Reads the files named by the arguments from `first` on, or standard input if there are
    none. */
 static ExitCode
-read_logs (const Options *options, int first, TakeLine take, gpointer data)
+read_logs (const Options *options, int first, LogLineFunc take, gpointer data)
 {
   ExitCode code = CODE_OK;
 
@@ -64,7 +64,7 @@
 }
 
 static void
-tell_bad_lines (guint count)
+report_bad_lines (guint count)
 {
   if (count > 0)
     fprintf (stderr, "switchmill: skipped %u lines that are not JSON\n", count);
@@ -74,12 +74,12 @@
 command_explain (const Options *options)
 {
   Explanation *explanation = explanation_create (options->words[0]);
-  ExitCode code = read_logs (options, 1, take_explained, explanation);
+  ExitCode code = read_logs (options, 1, add_to_explanation, explanation);
   g_autoptr (GPtrArray) lines = explanation_lines (explanation);
 
   for (guint i = 0; i < lines->len; i++)
     printf ("%s\n", (char *)g_ptr_array_index (lines, i));
-  tell_bad_lines (explanation_bad_lines (explanation));
+  report_bad_lines (explanation_bad_lines (explanation));
   if (lines->len == 0)
     {
       fprintf (stderr, "switchmill: no log line about \"%s\"\n", options->words[0]);
@@ -110,10 +110,10 @@
 command_outcomes (const Options *options)
 {
   RequestOutcomes *outcomes = request_outcomes_create (options->span_s);
-  ExitCode code = read_logs (options, 0, take_counted, outcomes);
+  ExitCode code = read_logs (options, 0, add_to_outcomes, outcomes);
 
   print_outcomes (outcomes, options->json);
-  tell_bad_lines (request_outcomes_bad_lines (outcomes));
+  report_bad_lines (request_outcomes_bad_lines (outcomes));
   if (request_outcomes_omitted_lines (outcomes) > 0)
     fprintf (stderr,
              "switchmill: nodes omitted %" G_GUINT64_FORMAT
--- a/client/src/commands-private.h
+++ b/client/src/commands-private.h
@@ -11,7 +11,7 @@
 JsonObject *command_object (const ApiResult *result);
 
 /* Prints the error of a failed call and the node's advice. Returns the exit code. */
-ExitCode command_complain (const ApiResult *result, const Options *options);
+ExitCode command_report_error (const ApiResult *result, const Options *options);
 
 /* Gets an object from a node and prints it, as JSON with --json. */
 ExitCode command_show (const Options *options,
--- a/client/src/commands-quarantine.c
+++ b/client/src/commands-quarantine.c
@@ -30,7 +30,7 @@
   ExitCode code = CODE_OK;
 
   if (result->status != HTTP_OK)
-    code = command_complain (result, options);
+    code = command_report_error (result, options);
   else if (!options->json)
     printf ("quarantine of %s lifted; further crashes will quarantine it again\n",
             request);
--- a/client/src/commands.c
+++ b/client/src/commands.c
@@ -32,7 +32,7 @@
 }
 
 ExitCode
-command_complain (const ApiResult *result, const Options *options)
+command_report_error (const ApiResult *result, const Options *options)
 {
   JsonObject *object = command_object (result);
 
@@ -67,13 +67,13 @@
 }
 
 static ExitCode
-with_status (const Options *options, void (*print) (JsonObject *status, const char *only))
+show_status (const Options *options, void (*print) (JsonObject *status, const char *only))
 {
   ApiResult *result = api_call (&options->api, "GET", "/v1/status", NULL);
   ExitCode code = CODE_OK;
 
   if (result->status != HTTP_OK || !command_object (result))
-    code = command_complain (result, options);
+    code = command_report_error (result, options);
   else if (options->json)
     printf ("%s\n", result->text);
   else
@@ -91,19 +91,19 @@
 static ExitCode
 run_status (const Options *options)
 {
-  return with_status (options, print_whole_status);
+  return show_status (options, print_whole_status);
 }
 
 static ExitCode
 run_service (const Options *options)
 {
-  return with_status (options, print_services);
+  return show_status (options, print_services);
 }
 
 static ExitCode
 run_target (const Options *options)
 {
-  return with_status (options, print_targets);
+  return show_status (options, print_targets);
 }
 
 ExitCode
@@ -115,7 +115,7 @@
   ExitCode code = CODE_OK;
 
   if (result->status != HTTP_OK || !command_object (result))
-    code = command_complain (result, options);
+    code = command_report_error (result, options);
   else if (options->json)
     printf ("%s\n", result->text);
   else
@@ -141,7 +141,7 @@
   ExitCode code = CODE_OK;
 
   if (result->status != HTTP_OK || !result->root || !JSON_NODE_HOLDS_ARRAY (result->root))
-    code = command_complain (result, options);
+    code = command_report_error (result, options);
   else if (options->json)
     printf ("%s\n", result->text);
   else
@@ -184,7 +184,7 @@
   ExitCode code = CODE_OK;
 
   if (result->status != HTTP_OK || !command_object (result))
-    code = command_complain (result, options);
+    code = command_report_error (result, options);
   else if (options->json)
     fputs (result->text, stdout);
   else
@@ -210,7 +210,7 @@
 
   if (result->status != HTTP_OK || !object)
     {
-      code = command_complain (result, options);
+      code = command_report_error (result, options);
       api_result_free (result);
       return code;
     }
@@ -270,7 +270,7 @@
 
 /* Returns an intent with one member, an array of the arguments from `from` on. */
 static char *
-words_intent (const Options *options, int from, const char *member)
+arguments_intent (const Options *options, int from, const char *member)
 {
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   g_autoptr (JsonNode) root = NULL;
@@ -289,7 +289,7 @@
 static ExitCode
 run_drain (const Options *options)
 {
-  g_autofree char *intent = words_intent (options, 0, "drain");
+  g_autofree char *intent = arguments_intent (options, 0, "drain");
 
   return plan (options, intent, options->yes);
 }
@@ -297,7 +297,7 @@
 static ExitCode
 run_restore (const Options *options)
 {
-  g_autofree char *intent = words_intent (options, 0, "restore");
+  g_autofree char *intent = arguments_intent (options, 0, "restore");
 
   return plan (options, intent, options->yes);
 }
@@ -314,7 +314,7 @@
       fprintf (stderr, "usage: switchmill hall evacuate|back HALL...\n");
       return CODE_USAGE;
     }
-  intent = words_intent (options, 1, back ? "take_back" : "evacuate");
+  intent = arguments_intent (options, 1, back ? "take_back" : "evacuate");
   return plan (options, intent, options->yes);
 }
 
--- a/client/src/explain.c
+++ b/client/src/explain.c
@@ -57,7 +57,7 @@
 /* Returns whether `id` is the wanted id, or the id of a call that the request's target
    made: "ID.REST". */
 static gboolean
-is_of (const char *id, const char *wanted)
+id_matches (const char *id, const char *wanted)
 {
   gsize len = strlen (wanted);
 
@@ -78,7 +78,7 @@
 /* Returns whether a line seems truncated, because it does not end with a brace. Only
    lines that may be about the request are parsed as JSON. */
 static gboolean
-looks_torn (const char *text)
+looks_truncated (const char *text)
 {
   gsize len = strlen (text);
 
@@ -105,7 +105,7 @@
   g_autofree char *text = g_strndup (line, len < 0 ? strlen (line) : (gsize)len);
   JsonNode *node = NULL;
 
-  if (looks_torn (text))
+  if (looks_truncated (text))
     {
       explanation->bad++;
       return;
@@ -122,7 +122,7 @@
     default:
       break;
     }
-  if (is_of (log_line_member (node, "id"), explanation->id) &&
+  if (id_matches (log_line_member (node, "id"), explanation->id) &&
       *log_line_member (node, "attempt"))
     g_hash_table_add (explanation->attempts,
                       g_strdup (log_line_member (node, "attempt")));
@@ -140,15 +140,15 @@
 }
 
 /* The members of a line that hold a fingerprint. */
-static const char *const print_members[] = { "request", "path_alone" };
+static const char *const fingerprint_members[] = { "request", "path_alone" };
 
 /* Returns whether a line has the wanted fingerprint or one of the request's. */
 static gboolean
-has_print (const Explanation *explanation, const Entry *entry)
+has_matching_fingerprint (const Explanation *explanation, const Entry *entry)
 {
-  for (gsize i = 0; i < G_N_ELEMENTS (print_members); i++)
+  for (gsize i = 0; i < G_N_ELEMENTS (fingerprint_members); i++)
     {
-      const char *print = log_line_member (entry->node, print_members[i]);
+      const char *print = log_line_member (entry->node, fingerprint_members[i]);
 
       if (strcmp (print, explanation->id) == 0 ||
           g_hash_table_contains (explanation->prints, print))
@@ -162,7 +162,7 @@
 {
   const char *attempt = log_line_member (entry->node, "attempt");
 
-  return is_of (log_line_member (entry->node, "id"), explanation->id) ||
+  return id_matches (log_line_member (entry->node, "id"), explanation->id) ||
          strcmp (attempt, explanation->id) == 0 ||
          g_hash_table_contains (explanation->attempts, attempt);
 }
@@ -170,23 +170,23 @@
 /* Quarantine lines with the same fingerprint say why the request was refused: crashes
    under other requests. Lines that name another request's id are left out. */
 static gboolean
-is_about (const Explanation *explanation, const Entry *entry)
+is_relevant (const Explanation *explanation, const Entry *entry)
 {
-  return is_own (explanation, entry) ||
-         (!*log_line_member (entry->node, "id") && has_print (explanation, entry));
+  return is_own (explanation, entry) || (!*log_line_member (entry->node, "id") &&
+                                         has_matching_fingerprint (explanation, entry));
 }
 
 static void
-collect_prints (Explanation *explanation)
+collect_fingerprints (Explanation *explanation)
 {
   for (guint i = 0; i < explanation->entries->len; i++)
     {
       const Entry *entry = g_ptr_array_index (explanation->entries, i);
 
-      for (gsize j = 0; is_own (explanation, entry) && j < G_N_ELEMENTS (print_members);
-           j++)
+      for (gsize j = 0;
+           is_own (explanation, entry) && j < G_N_ELEMENTS (fingerprint_members); j++)
         {
-          const char *print = log_line_member (entry->node, print_members[j]);
+          const char *print = log_line_member (entry->node, fingerprint_members[j]);
 
           if (*print)
             g_hash_table_add (explanation->prints, g_strdup (print));
@@ -225,12 +225,12 @@
   GPtrArray *lines = g_ptr_array_new_with_free_func (g_free);
 
   g_ptr_array_sort (explanation->entries, compare_entries);
-  collect_prints (explanation);
+  collect_fingerprints (explanation);
   for (guint i = 0; i < explanation->entries->len; i++)
     {
       const Entry *entry = g_ptr_array_index (explanation->entries, i);
 
-      if (is_about (explanation, entry))
+      if (is_relevant (explanation, entry))
         g_ptr_array_add (lines, entry_text (entry));
     }
   return lines;
--- a/client/src/main.c
+++ b/client/src/main.c
@@ -56,7 +56,7 @@
 }
 
 static const char *
-or_environment (const struct arg_str *given, const char *name, const char *fallback)
+value_or_environment (const struct arg_str *given, const char *name, const char *fallback)
 {
   if (given->count > 0)
     return given->sval[0];
@@ -104,8 +104,8 @@
     {
       curl_global_init (CURL_GLOBAL_DEFAULT);
       options.api.address =
-          (char *)or_environment (node, "SWITCHMILL_NODE", "127.0.0.1:7100");
-      options.api.token = (char *)or_environment (token, "SWITCHMILL_TOKEN", "");
+          (char *)value_or_environment (node, "SWITCHMILL_NODE", "127.0.0.1:7100");
+      options.api.token = (char *)value_or_environment (token, "SWITCHMILL_TOKEN", "");
       options.json = json->count > 0;
       options.yes = yes->count > 0;
       options.force = force->count > 0;
--- a/client/src/outcomes-private.h
+++ b/client/src/outcomes-private.h
@@ -19,7 +19,7 @@
   CAUSE_QUEUE,         /* the time left was too short for it */
   CAUSE_BUDGET,        /* the retry budget was exhausted */
   CAUSE_SICK,          /* the remaining targets counted as sick */
-  CAUSE_NOBODY_LEFT,   /* no target remained */
+  CAUSE_NO_TARGET,     /* no target remained */
   CAUSE_LEAVING,       /* the node or the target was leaving */
   CAUSE_CALLER_LEFT,
   CAUSE_OTHER,
--- a/client/src/outcomes-report.c
+++ b/client/src/outcomes-report.c
@@ -43,7 +43,7 @@
 /* Returns the id of the request for which a call is made, or NULL if `id` is not a
    call's. The id of a call is "ID.REST". */
 static char *
-parent_of (const char *id)
+parent_id (const char *id)
 {
   const char *stop = strrchr (id, '.');
 
@@ -52,7 +52,7 @@
 
 /* Returns the causes of failed calls, by the id of the request that made them. */
 static GHashTable *
-causes_of_calls (const RequestOutcomes *outcomes)
+collect_call_causes (const RequestOutcomes *outcomes)
 {
   GHashTable *causes = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   GHashTableIter iter;
@@ -64,7 +64,7 @@
     {
       const Request *request = value;
       char *parent =
-          request->over && request->fate >= FATE_REFUSED ? parent_of (id) : NULL;
+          request->over && request->fate >= FATE_REFUSED ? parent_id (id) : NULL;
 
       if (parent)
         g_hash_table_replace (causes, parent, GUINT_TO_POINTER (request->cause));
@@ -118,7 +118,7 @@
 tabulate (const RequestOutcomes *outcomes)
 {
   GHashTable *rows = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, row_free);
-  g_autoptr (GHashTable) calls = causes_of_calls (outcomes);
+  g_autoptr (GHashTable) calls = collect_call_causes (outcomes);
   GHashTableIter iter;
   gpointer id;
   gpointer value;
--- a/client/src/outcomes.c
+++ b/client/src/outcomes.c
@@ -26,7 +26,7 @@
   { "budget", CAUSE_BUDGET },
   { "sick", CAUSE_SICK },
   { "unproved", CAUSE_SICK },
-  { "no-target", CAUSE_NOBODY_LEFT },
+  { "no-target", CAUSE_NO_TARGET },
   { "draining", CAUSE_LEAVING },
   { "cancelled", CAUSE_CALLER_LEFT },
   { NULL, CAUSE_OTHER },
@@ -95,19 +95,19 @@
 }
 
 static gint64
-number_in (const JsonNode *node, const char *name)
+int_member (const JsonNode *node, const char *name)
 {
   return g_ascii_strtoll (log_line_member (node, name), NULL, 10);
 }
 
 static gboolean
-says_yes (const JsonNode *node, const char *name)
+is_yes (const JsonNode *node, const char *name)
 {
   return strcmp (log_line_member (node, name), "yes") == 0;
 }
 
 static gint64
-seconds_of (const char *time)
+unix_seconds (const char *time)
 {
   g_autoptr (GDateTime) parsed = g_date_time_new_from_iso8601 (time, NULL);
 
@@ -115,23 +115,23 @@
 }
 
 static void
-take_end (Request *request, const JsonNode *node)
+apply_end (Request *request, const JsonNode *node)
 {
   const char *outcome = log_line_member (node, "outcome");
-  gint64 status = number_in (node, "status");
-  gint64 arrivals = number_in (node, "arrivals");
+  gint64 status = int_member (node, "status");
+  gint64 arrivals = int_member (node, "arrivals");
 
   request->over = TRUE;
   g_free (request->class);
   request->class = g_strdup (log_line_member (node, "class"));
-  request->took_us = number_in (node, "took_us");
+  request->took_us = int_member (node, "took_us");
   request->began_s =
-      seconds_of (log_line_member (node, "time")) - request->took_us / G_USEC_PER_SEC;
+      unix_seconds (log_line_member (node, "time")) - request->took_us / G_USEC_PER_SEC;
   request->retries = (guint)MAX (arrivals - 1, 0);
   request->by_target = status >= HTTP_SERVER_ERROR;
   if (strcmp (outcome, "done") == 0 && !request->by_target)
     {
-      request->fate = says_yes (node, "late") ? FATE_LATE : FATE_SERVED;
+      request->fate = is_yes (node, "late") ? FATE_LATE : FATE_SERVED;
       return;
     }
   request->fate = strcmp (outcome, "not-run") == 0 ? FATE_REFUSED : FATE_FAILED;
@@ -141,7 +141,7 @@
 }
 
 static void
-take_request_line (RequestOutcomes *outcomes, const JsonNode *node, const char *event)
+apply_request_line (RequestOutcomes *outcomes, const JsonNode *node, const char *event)
 {
   const char *id = log_line_member (node, "id");
 
@@ -151,7 +151,7 @@
     {
       Request *request = request_of (outcomes, id);
 
-      if (says_yes (node, "own_hall"))
+      if (is_yes (node, "own_hall"))
         request->own_hall++;
       else
         request->other_halls++;
@@ -162,7 +162,7 @@
            strcmp (log_line_member (node, "reason"), "budget") == 0)
     request_of (outcomes, id)->budget_denied++;
   else if (strcmp (event, "request") == 0 || strcmp (event, "request-failed") == 0)
-    take_end (request_of (outcomes, id), node);
+    apply_end (request_of (outcomes, id), node);
 }
 
 void
@@ -181,7 +181,10 @@
 /* Handles "kind=bytes kind=bytes ...". The counts of a node rise from its start, so a
    lower count means that the node was restarted. */
 static void
-take_bytes (RequestOutcomes *outcomes, guint hall, const char *name, const char *text)
+apply_sent_bytes (RequestOutcomes *outcomes,
+                  guint hall,
+                  const char *name,
+                  const char *text)
 {
   g_auto (GStrv) pairs = g_strsplit (text, " ", -1);
 
@@ -223,16 +226,16 @@
     }
   event = log_line_member (node, "event");
   if (strcmp (event, "log-omitted") == 0)
-    outcomes->omitted += (guint64)number_in (node, "count");
+    outcomes->omitted += (guint64)int_member (node, "count");
   else if (strcmp (event, "bytes-sent") == 0)
     {
-      take_bytes (outcomes, 0, log_line_member (node, "node"),
-                  log_line_member (node, "own_hall"));
-      take_bytes (outcomes, 1, log_line_member (node, "node"),
-                  log_line_member (node, "other_halls"));
+      apply_sent_bytes (outcomes, 0, log_line_member (node, "node"),
+                        log_line_member (node, "own_hall"));
+      apply_sent_bytes (outcomes, 1, log_line_member (node, "node"),
+                        log_line_member (node, "other_halls"));
     }
   else
-    take_request_line (outcomes, node, event);
+    apply_request_line (outcomes, node, event);
 }
 
 guint
--- a/client/tests/test-explain.c
+++ b/client/tests/test-explain.c
@@ -50,7 +50,7 @@
 }
 
 static void
-test_an_attempts_name_serves_too (void **state)
+test_an_attempt_id_is_accepted (void **state)
 {
   Explanation *explanation = explain ("a-1-9");
   g_autoptr (GPtrArray) lines = explanation_lines (explanation);
@@ -72,7 +72,7 @@
 /* For a request that was refused because of its fingerprint, the crashes that led to the
    quarantine are shown too, although they happened under other requests. */
 static void
-test_what_held_a_request_back_is_told (void **state)
+test_the_cause_of_a_quarantine_is_shown (void **state)
 {
   static const char *const lines[] = {
     "{\"time\":\"T1\",\"node\":\"a\",\"event\":\"ended-under\",\"attempt\":\"b-1-1\","
@@ -108,9 +108,9 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_lines_of_all_nodes_come_in_order),
-    cmocka_unit_test (test_an_attempts_name_serves_too),
+    cmocka_unit_test (test_an_attempt_id_is_accepted),
     cmocka_unit_test (test_an_unknown_id_has_no_lines),
-    cmocka_unit_test (test_what_held_a_request_back_is_told),
+    cmocka_unit_test (test_the_cause_of_a_quarantine_is_shown),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/client/tests/test-outcomes.c
+++ b/client/tests/test-outcomes.c
@@ -83,7 +83,7 @@
 }
 
 static void
-test_fates_and_causes_are_told (void **state)
+test_outcomes_and_causes_are_reported (void **state)
 {
   RequestOutcomes *outcomes = filled (0);
   g_autoptr (JsonNode) node = request_outcomes_json (outcomes);
@@ -121,7 +121,7 @@
 }
 
 static void
-test_bytes_of_all_lives_of_a_node_are_summed (void **state)
+test_bytes_are_summed_over_node_restarts (void **state)
 {
   RequestOutcomes *outcomes = filled (0);
   g_autofree char *text = request_outcomes_text (outcomes);
@@ -132,7 +132,7 @@
 }
 
 static void
-test_spans_part_requests_by_when_they_began (void **state)
+test_requests_are_counted_in_the_span_of_their_start (void **state)
 {
   RequestOutcomes *outcomes = filled (2);
   g_autoptr (JsonNode) node = request_outcomes_json (outcomes);
@@ -151,10 +151,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_fates_and_causes_are_told),
+    cmocka_unit_test (test_outcomes_and_causes_are_reported),
     cmocka_unit_test (test_gaps_and_bad_lines_are_counted),
-    cmocka_unit_test (test_bytes_of_all_lives_of_a_node_are_summed),
-    cmocka_unit_test (test_spans_part_requests_by_when_they_began),
+    cmocka_unit_test (test_bytes_are_summed_over_node_restarts),
+    cmocka_unit_test (test_requests_are_counted_in_the_span_of_their_start),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/daemon/src/account/allowances-lend.c
+++ b/daemon/src/account/allowances-lend.c
@@ -105,7 +105,8 @@
   account_stats_note (node->account_stats, account->id,
                       verdict->outcome == ALLOWANCE_EXCEEDED ? ACCOUNT_EXCEEDED
                                                              : ACCOUNT_ALLOWANCE_UNKNOWN,
-                      clock_now (node->clock) - http_request_taken_us (order->request));
+                      clock_now (node->clock) -
+                          http_request_received_us (order->request));
   log_event (G_LOG_LEVEL_INFO, "allowance-refused", "ID", order->id, "ACCOUNT",
              account->id, "OUTCOME",
              verdict->outcome == ALLOWANCE_EXCEEDED ? "exceeded" : "unknown", "PER_S",
--- a/daemon/src/account/allowances.c
+++ b/daemon/src/account/allowances.c
@@ -142,7 +142,7 @@
   gint64 most =
       objective > 0 ? objective / UNKNOWN_WAIT_DIVISOR : UNKNOWN_WAIT_DEFAULT_US;
 
-  return now_us - http_request_taken_us (waiter->order.request) < most;
+  return now_us - http_request_received_us (waiter->order.request) < most;
 }
 
 static void
--- a/daemon/src/member/peers.c
+++ b/daemon/src/member/peers.c
@@ -125,7 +125,7 @@
 has_fresh_session (const Peer *peer)
 {
   return peer->open && rpc_peer_is_open (peer->rpc) &&
-         peer->connection == rpc_peer_connection (peer->rpc) &&
+         peer->connection == rpc_peer_connection_number (peer->rpc) &&
          clock_now (peer->peers->node->clock) - peer->stamped_us < READING_MAX_AGE_US;
 }
 
@@ -209,7 +209,7 @@
   if (peer && outcome == RPC_OK && res->welcome && !other)
     {
       peer->open = TRUE;
-      peer->connection = rpc_peer_connection (peer->rpc);
+      peer->connection = rpc_peer_connection_number (peer->rpc);
       peer->stamp.incarnation = res->stamp.incarnation;
       peer->stamp.reading_us = (gint64)res->stamp.clock_us;
       peer->stamped_us = clock_now (peers->node->clock);
--- a/daemon/src/request/exchange.c
+++ b/daemon/src/request/exchange.c
@@ -189,7 +189,7 @@
   exchange->identified = order->identified;
   exchange->priority = order->priority;
   exchange->ticket = order->ticket;
-  exchange->began_us = http_request_taken_us (order->request);
+  exchange->began_us = http_request_received_us (order->request);
   exchange->tried = g_ptr_array_new_with_free_func (g_free);
   exchange->busy = g_ptr_array_new_with_free_func (g_free);
   exchange->timer = loop_timer_create (node->loop, on_retry_timer, exchange);
--- a/daemon/src/request/ingress.c
+++ b/daemon/src/request/ingress.c
@@ -213,7 +213,7 @@
 
 /* Counts a connection that was closed because the caller stopped reading its answer. */
 static void
-on_let_go (gsize left, gpointer data)
+on_stall (gsize left, gpointer data)
 {
   Node *node = data;
   g_autofree char *bytes = g_strdup_printf ("%" G_GSIZE_FORMAT, left);
@@ -247,8 +247,8 @@
                                         on_request, ingress, error);
   if (ingress->server)
     {
-      http_server_set_let_go (ingress->server, on_let_go, node);
-      http_server_set_full (ingress->server, on_full, node);
+      http_server_set_stall_func (ingress->server, on_stall, node);
+      http_server_set_full_func (ingress->server, on_full, node);
       return ingress;
     }
   start_queue_destroy (ingress->start_queue);
--- a/io/include/io/http-server.h
+++ b/io/include/io/http-server.h
@@ -39,11 +39,11 @@
 /* Called when a connection is closed because its caller has read nothing of its answer
    for `stall_us`. `left` is the unread rest of the answer in bytes. One function per
    server. */
-typedef void (*HttpLetGoFunc) (gsize left, gpointer data);
-void http_server_set_let_go (HttpServer *server, HttpLetGoFunc func, gpointer data);
+typedef void (*HttpStallFunc) (gsize left, gpointer data);
+void http_server_set_stall_func (HttpServer *server, HttpStallFunc func, gpointer data);
 /* Called when a request is refused because of `held_max`; one function per server. */
 typedef void (*HttpFullFunc) (gpointer data);
-void http_server_set_full (HttpServer *server, HttpFullFunc func, gpointer data);
+void http_server_set_full_func (HttpServer *server, HttpFullFunc func, gpointer data);
 
 /* Stops accepting connections. Open connections are still served. */
 void http_server_quiesce (HttpServer *server);
@@ -58,7 +58,7 @@
 void http_request_unref (HttpRequest *request);
 
 /* Returns the time at which the whole request had been read, by the loop's clock. */
-gint64 http_request_taken_us (const HttpRequest *request);
+gint64 http_request_received_us (const HttpRequest *request);
 const char *http_request_method (const HttpRequest *request);
 /* Returns the path with its query, as sent by the caller. */
 const char *http_request_target (const HttpRequest *request);
--- a/io/include/io/rpc.h
+++ b/io/include/io/rpc.h
@@ -97,7 +97,7 @@
 gboolean rpc_peer_is_open (const RpcPeer *peer);
 
 /* Returns the number of the current or last connection: 1 for the first, 0 before it. */
-guint rpc_peer_connection (const RpcPeer *peer);
+guint rpc_peer_connection_number (const RpcPeer *peer);
 
 /* Returns the bytes of records and record marks that were sent and received since the
    peer was created. */
--- a/io/src/connect-check.c
+++ b/io/src/connect-check.c
@@ -34,7 +34,7 @@
 }
 
 static void
-on_decided (int fd, LoopEvents ready, gpointer data)
+on_connect_result (int fd, LoopEvents ready, gpointer data)
 {
   switch (socket_error (fd))
     {
@@ -76,7 +76,7 @@
   check->fd = socket_connect (address);
   check->refused = check->fd < 0 && errno == ECONNREFUSED;
   if (check->fd >= 0)
-    check->watch = loop_fd_create (loop, check->fd, LOOP_WRITE, on_decided, check);
+    check->watch = loop_fd_create (loop, check->fd, LOOP_WRITE, on_connect_result, check);
   loop_timer_start (check->timer, check->fd >= 0 ? timeout_us : 0);
   return check;
 }
--- a/io/src/http-answer.c
+++ b/io/src/http-answer.c
@@ -3,17 +3,17 @@
 #include <string.h>
 
 /* The size of libmicrohttpd's buffer for an answer, in bytes, besides the body itself. */
-#define PIECE_MAX (32u * 1024)
+#define ANSWER_CHUNK_MAX (32u * 1024)
 
 typedef struct
 {
   GBytes *body;
-  Conn *conn; /* valid as long as next_piece is called */
+  Conn *conn; /* valid as long as next_chunk is called */
 } Answer;
 
 /* libmicrohttpd asks for more when the socket has room, so the caller has read some. */
 static ssize_t
-next_piece (void *data, uint64_t at, char *piece, size_t max)
+next_chunk (void *data, uint64_t at, char *piece, size_t max)
 {
   Answer *answer = data;
   gsize len;
@@ -25,8 +25,8 @@
   memcpy (piece, bytes + at, count);
   if (answer->conn)
     {
-      answer->conn->taking_since_us = clock_now (loop_clock (answer->conn->server->loop));
-      answer->conn->answer_left = len - at;
+      answer->conn->last_read_us = clock_now (loop_clock (answer->conn->server->loop));
+      answer->conn->answer_unread = len - at;
     }
   return (ssize_t)count;
 }
@@ -51,7 +51,7 @@
   answer = g_new0 (Answer, 1);
   answer->body = g_bytes_ref (body);
   answer->conn = request->conn;
-  http_request_hold (request, len);
-  return MHD_create_response_from_callback (len, MIN (len, PIECE_MAX), next_piece, answer,
-                                            answer_free);
+  http_request_add_held (request, len);
+  return MHD_create_response_from_callback (len, MIN (len, ANSWER_CHUNK_MAX), next_chunk,
+                                            answer, answer_free);
 }
--- a/io/src/http-gone.c
+++ b/io/src/http-gone.c
@@ -9,7 +9,7 @@
 /* Calls the functions of the requests whose callers have closed their connections, once
    each. */
 static void
-tell_gone (HttpServer *server, GPtrArray *requests, const GArray *polls)
+notify_gone (HttpServer *server, GPtrArray *requests, const GArray *polls)
 {
   for (guint i = 0; i < requests->len; i++)
     {
@@ -52,7 +52,7 @@
       g_ptr_array_add (requests, http_request_ref (request));
     }
   if (poll ((struct pollfd *)polls->data, polls->len, 0) > 0)
-    tell_gone (server, requests, polls);
+    notify_gone (server, requests, polls);
   loop_timer_start (server->gone_check, GONE_CHECK_US);
 }
 
--- a/io/src/http-request.c
+++ b/io/src/http-request.c
@@ -31,9 +31,9 @@
 }
 
 gint64
-http_request_taken_us (const HttpRequest *request)
+http_request_received_us (const HttpRequest *request)
 {
-  return request->taken_us;
+  return request->received_us;
 }
 
 const char *
@@ -80,7 +80,7 @@
   if (!request->suspended || !request->connection || !request->server)
     return;
   request->suspended = FALSE;
-  request->server->woken = TRUE;
+  request->server->resume_pending = TRUE;
   MHD_resume_connection (request->connection);
 }
 
--- a/io/src/http-server-private.h
+++ b/io/src/http-server-private.h
@@ -17,8 +17,8 @@
   int fd;
   gint64 reading_since_us; /* 0 while no request is being read */
   gint64 idle_since_us;    /* 0 while there is a request */
-  gint64 taking_since_us;  /* when the caller last read part of its answer; 0 for none */
-  gsize answer_left;       /* bytes of the answer that it has not read */
+  gint64 last_read_us;     /* when the caller last read part of its answer; 0 for none */
+  gsize answer_unread;     /* bytes of the answer that it has not read */
   gboolean refused;        /* answered as not run: its request must not run any more */
 } Conn;
 
@@ -35,14 +35,14 @@
   HttpLimits limits;
   HttpHandler handler;
   gpointer data;
-  HttpLetGoFunc let_go;
-  gpointer let_go_data;
+  HttpStallFunc stall_close;
+  gpointer stall_close_data;
   HttpFullFunc full;
   gpointer full_data;
   gsize held;        /* bytes of bodies and answers */
   GHashTable *conns; /* set of Conn */
   guint active;
-  gboolean woken; /* a connection was resumed since the daemon last ran */
+  gboolean resume_pending; /* a connection was resumed since the daemon last ran */
 };
 
 struct HttpRequest
@@ -58,7 +58,7 @@
   GByteArray *body;
   gsize held; /* bytes counted for the request */
   gboolean handled;
-  gint64 taken_us; /* when the handler was called */
+  gint64 received_us; /* when the handler was called */
   gboolean suspended;
   gboolean dropped;
   HttpGoneFunc gone;
@@ -68,7 +68,7 @@
 };
 
 /* Adds to the bytes that are held for a request until it ends. */
-void http_request_hold (HttpRequest *request, gsize bytes);
+void http_request_add_held (HttpRequest *request, gsize bytes);
 
 /* Returns a response that passes the body to the connection in chunks and keeps a
    reference to it. */
--- a/io/src/http-server.c
+++ b/io/src/http-server.c
@@ -11,7 +11,7 @@
 #define SWEEP_US (SECOND_US / 4)
 /* Suggested delay for callers refused because of `held_max`. */
 #define FULL_RETRY_AFTER_S "1"
-#define SLOW_ANSWER                                                                      \
+#define READ_TIMEOUT_ANSWER                                                              \
   "HTTP/1.1 408 Request Timeout\r\nSwitchmill-Outcome: not-run\r\n"                      \
   "Connection: close\r\nContent-Length: 0\r\n\r\n"
 
@@ -70,7 +70,7 @@
 }
 
 void
-http_request_hold (HttpRequest *request, gsize bytes)
+http_request_add_held (HttpRequest *request, gsize bytes)
 {
   if (!request->server)
     return;
@@ -159,7 +159,7 @@
       if (request->body->len + *upload_size > server->limits.body_max)
         return MHD_NO; /* a chunked body exceeds the bound; no answer is possible here */
       g_byte_array_append (request->body, (const guint8 *)upload, (guint)*upload_size);
-      http_request_hold (request, *upload_size);
+      http_request_add_held (request, *upload_size);
       *upload_size = 0;
       return MHD_YES;
     }
@@ -170,7 +170,7 @@
   if (!request->handled)
     {
       request->handled = TRUE;
-      request->taken_us = clock_now (loop_clock (server->loop));
+      request->received_us = clock_now (loop_clock (server->loop));
       if (request->conn)
         request->conn->reading_since_us = 0;
       server->handler (request, server->data);
@@ -204,7 +204,7 @@
   if (request->conn)
     {
       request->conn->reading_since_us = 0;
-      request->conn->taking_since_us = 0;
+      request->conn->last_read_us = 0;
       request->conn->idle_since_us = clock_now (loop_clock (server->loop));
     }
   request->connection = NULL;
@@ -246,7 +246,8 @@
 {
   conn->refused = TRUE;
   conn->reading_since_us = 0;
-  if (send (conn->fd, SLOW_ANSWER, strlen (SLOW_ANSWER), MSG_NOSIGNAL | MSG_DONTWAIT) < 0)
+  if (send (conn->fd, READ_TIMEOUT_ANSWER, strlen (READ_TIMEOUT_ANSWER),
+            MSG_NOSIGNAL | MSG_DONTWAIT) < 0)
     g_debug ("caller closed its connection before the 408 answer");
   shutdown (conn->fd, SHUT_RDWR);
 }
@@ -256,19 +257,18 @@
 {
   gint64 stall_us = conn->server->limits.stall_us;
 
-  return stall_us > 0 && conn->taking_since_us > 0 &&
-         now - conn->taking_since_us > stall_us;
+  return stall_us > 0 && conn->last_read_us > 0 && now - conn->last_read_us > stall_us;
 }
 
 /* Closes a stalled connection, which frees the memory held for its answer. */
 static void
-let_go (Conn *conn)
+stall_close (Conn *conn)
 {
   HttpServer *server = conn->server;
 
-  conn->taking_since_us = 0;
-  if (server->let_go)
-    server->let_go (conn->answer_left, server->let_go_data);
+  conn->last_read_us = 0;
+  if (server->stall_close)
+    server->stall_close (conn->answer_unread, server->stall_close_data);
   shutdown (conn->fd, SHUT_RDWR);
 }
 
@@ -293,7 +293,7 @@
       if (conn->reading_since_us && now - conn->reading_since_us > server->limits.read_us)
         refuse_slow (conn);
       else if (has_stalled (conn, now))
-        let_go (conn);
+        stall_close (conn);
       else if (conn->idle_since_us && now - conn->idle_since_us > server->limits.idle_us)
         shutdown (conn->fd, SHUT_RDWR);
     }
@@ -305,7 +305,7 @@
 {
   HttpServer *server = data;
 
-  server->woken = FALSE;
+  server->resume_pending = FALSE;
   MHD_run (server->daemon);
 }
 
@@ -316,10 +316,10 @@
   MHD_UNSIGNED_LONG_LONG wait_ms;
 
   /* MHD_get_timeout of libmicrohttpd 0.9.75 ignores resumed connections. */
-  if (server->woken ||
+  if (server->resume_pending ||
       (MHD_get_timeout (server->daemon, &wait_ms) == MHD_YES && wait_ms == 0))
     {
-      server->woken = FALSE;
+      server->resume_pending = FALSE;
       MHD_run (server->daemon);
     }
   if (MHD_get_timeout (server->daemon, &wait_ms) != MHD_YES)
@@ -376,14 +376,14 @@
 }
 
 void
-http_server_set_let_go (HttpServer *server, HttpLetGoFunc func, gpointer data)
+http_server_set_stall_func (HttpServer *server, HttpStallFunc func, gpointer data)
 {
-  server->let_go = func;
-  server->let_go_data = data;
+  server->stall_close = func;
+  server->stall_close_data = data;
 }
 
 void
-http_server_set_full (HttpServer *server, HttpFullFunc func, gpointer data)
+http_server_set_full_func (HttpServer *server, HttpFullFunc func, gpointer data)
 {
   server->full = func;
   server->full_data = data;
--- a/io/src/loop.c
+++ b/io/src/loop.c
@@ -72,7 +72,7 @@
 }
 
 static void
-free_dead (Loop *loop)
+free_destroyed (Loop *loop)
 {
   for (guint i = 0; i < loop->dead->len; i++)
     {
@@ -89,7 +89,7 @@
 {
   if (!loop)
     return;
-  free_dead (loop);
+  free_destroyed (loop);
   g_ptr_array_unref (loop->dead);
   g_sequence_free (loop->timers);
   g_array_unref (loop->prepares);
@@ -155,7 +155,7 @@
 }
 
 static void
-hand_out (Loop *loop, const apr_pollfd_t *ready, apr_int32_t count)
+dispatch_events (Loop *loop, const apr_pollfd_t *ready, apr_int32_t count)
 {
   for (apr_int32_t i = 0; i < count; i++)
     {
@@ -224,8 +224,8 @@
       status = apr_pollset_poll (loop->pollset, wait, &count, &ready);
       begin_turn (loop);
       if (status == APR_SUCCESS)
-        hand_out (loop, ready, count);
-      free_dead (loop);
+        dispatch_events (loop, ready, count);
+      free_destroyed (loop);
     }
 }
 
--- a/io/src/rpc-peer.c
+++ b/io/src/rpc-peer.c
@@ -48,7 +48,7 @@
 /* Fails the call from the loop, so that `done` is never called from within a function
    that its owner has called. */
 static void
-call_fail_soon (Call *call, RpcOutcome outcome)
+call_fail_from_loop (Call *call, RpcOutcome outcome)
 {
   call->outcome = outcome;
   loop_timer_start (call->timer, 0);
@@ -81,7 +81,7 @@
   drop_stream (peer);
   g_hash_table_iter_init (&iter, peer->calls);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    call_fail_soon (value, outcome);
+    call_fail_from_loop (value, outcome);
 }
 
 void
@@ -203,7 +203,7 @@
   ensure_stream (peer);
   if (!message || !peer->stream)
     {
-      call_fail_soon (call, RPC_UNSENT);
+      call_fail_from_loop (call, RPC_UNSENT);
       return 0;
     }
   stream_send (peer->stream, message);
@@ -223,7 +223,7 @@
 }
 
 guint
-rpc_peer_connection (const RpcPeer *peer)
+rpc_peer_connection_number (const RpcPeer *peer)
 {
   return peer->connection;
 }
--- a/io/src/rpc-server.c
+++ b/io/src/rpc-server.c
@@ -9,7 +9,7 @@
 /* Interval of the search for idle connections. */
 #define SWEEP_US (5 * SECOND_US)
 /* Longest record from a peer that is not authenticated, in bytes. */
-#define STRANGER_RECORD_MAX 65536u
+#define UNAUTHENTICATED_RECORD_MAX 65536u
 
 struct RpcConn
 {
@@ -105,7 +105,7 @@
       conn->server = server;
       conn->active_us = clock_now (loop_clock (server->loop));
       conn->stream = stream_create (server->loop, accepted, FALSE, &stream_events, conn);
-      stream_set_record_max (conn->stream, STRANGER_RECORD_MAX);
+      stream_set_record_max (conn->stream, UNAUTHENTICATED_RECORD_MAX);
       g_ptr_array_add (server->conns, conn);
     }
 }
--- a/io/src/stream.c
+++ b/io/src/stream.c
@@ -10,7 +10,7 @@
 
 #define READ_CHUNK 65536u
 /* Output buffers above this size are freed once they are empty. */
-#define KEEP_BUFFER 65536u
+#define BUFFER_KEEP_MAX 65536u
 
 struct Stream
 {
@@ -19,7 +19,7 @@
   LoopFd *watch;
   LoopTimer *fail;
   gboolean connecting;
-  gboolean *gone; /* set by stream_destroy during hand_out_records, else NULL */
+  gboolean *gone; /* set by stream_destroy during dispatch_records, else NULL */
   GByteArray *in;
   GByteArray *out;
   guint out_at;
@@ -31,7 +31,7 @@
 };
 
 static void
-tell_closed (gpointer data)
+notify_closed (gpointer data)
 {
   Stream *stream = data;
 
@@ -72,7 +72,7 @@
     }
   if (stream->out_at == stream->out->len)
     {
-      gboolean large = stream->out->len > KEEP_BUFFER;
+      gboolean large = stream->out->len > BUFFER_KEEP_MAX;
 
       g_byte_array_set_size (stream->out, 0);
       stream->out_at = 0;
@@ -87,7 +87,7 @@
 
 /* Returns FALSE if the owner has destroyed the stream, or if a record was invalid. */
 static gboolean
-hand_out_records (Stream *stream)
+dispatch_records (Stream *stream)
 {
   g_autoptr (GByteArray) record = g_byte_array_new ();
   gboolean gone = FALSE;
@@ -102,7 +102,7 @@
       if (state == RECORD_BAD)
         {
           stream->gone = NULL;
-          tell_closed (stream);
+          notify_closed (stream);
           return FALSE;
         }
       stream->events->record (record, stream->data);
@@ -130,12 +130,12 @@
   if (n > 0)
     {
       stream->received += (guint64)n;
-      hand_out_records (stream);
+      dispatch_records (stream);
       return;
     }
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
     return;
-  tell_closed (stream);
+  notify_closed (stream);
 }
 
 static void
@@ -149,7 +149,7 @@
         return;
       if (socket_error (fd) != 0)
         {
-          tell_closed (stream);
+          notify_closed (stream);
           return;
         }
       stream->connecting = FALSE;
@@ -177,7 +177,7 @@
   stream->data = data;
   stream->in = g_byte_array_new ();
   stream->out = g_byte_array_new ();
-  stream->fail = loop_timer_create (loop, tell_closed, stream);
+  stream->fail = loop_timer_create (loop, notify_closed, stream);
   stream->watch = loop_fd_create (
       loop, fd, connecting ? LOOP_READ | LOOP_WRITE : LOOP_READ, on_ready, stream);
   return stream;
--- a/io/tests/test-loop.c
+++ b/io/tests/test-loop.c
@@ -48,12 +48,12 @@
   GString *order;
   const char *name;
   gboolean last;
-} Named;
+} NamedTimer;
 
 static void
 on_named (gpointer data)
 {
-  Named *named = data;
+  NamedTimer *named = data;
 
   g_string_append (named->order, named->name);
   if (named->last)
@@ -66,9 +66,9 @@
   Clock *clock = clock_create_manual (0);
   Loop *loop = loop_create (clock);
   GString *order = g_string_new (NULL);
-  Named a = { loop, order, "a", FALSE };
-  Named b = { loop, order, "b", FALSE };
-  Named c = { loop, order, "c", TRUE };
+  NamedTimer a = { loop, order, "a", FALSE };
+  NamedTimer b = { loop, order, "b", FALSE };
+  NamedTimer c = { loop, order, "c", TRUE };
   LoopTimer *ta = loop_timer_create (loop, on_named, &a);
   LoopTimer *tb = loop_timer_create (loop, on_named, &b);
   LoopTimer *tc = loop_timer_create (loop, on_named, &c);
@@ -147,7 +147,7 @@
 }
 
 static void
-test_a_long_turn_is_told_and_no_other (void **state)
+test_only_long_turns_are_reported (void **state)
 {
   Turns calm = run_turns (0, LOOP_TURN_LONG_US / 2);
   Turns busy = run_turns (LOOP_TURN_LONG_CPU_US, 0);
@@ -168,7 +168,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_timer_due_between_two_readings_is_not_lost),
     cmocka_unit_test (test_timers_fire_by_time_and_can_be_moved_and_stopped),
-    cmocka_unit_test (test_a_long_turn_is_told_and_no_other),
+    cmocka_unit_test (test_only_long_turns_are_reported),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/io/tests/test-slow-readers.c
+++ b/io/tests/test-slow-readers.c
@@ -21,7 +21,7 @@
 #define HELD_MAX (12 * ANSWER_BYTES)
 #define STALL_US (500 * MS_US)
 /* Stalled connections are closed by then: the stall time and two sweeps. */
-#define CLOSED_US (4 * STALL_US)
+#define STALLS_CLOSED_US (4 * STALL_US)
 #define PAUSE_US 10000
 #define BUFFER 65536
 
@@ -30,7 +30,7 @@
   Loop *loop;
   HttpServer *server;
   char *body;
-  guint let_go;
+  guint stall_close;
   guint full;
   gint over; /* the callers' thread has ended */
 } Fixture;
@@ -44,10 +44,10 @@
 }
 
 static void
-on_let_go (gsize left, gpointer data)
+on_stall (gsize left, gpointer data)
 {
   assert_in_range (left, 1, ANSWER_BYTES);
-  ((Fixture *)data)->let_go++;
+  ((Fixture *)data)->stall_close++;
 }
 
 static void
@@ -98,19 +98,19 @@
   guint refused;
   guint cut;
   gsize last; /* bytes that a caller that reads receives afterwards */
-} Seen;
+} CallerResults;
 
 static gpointer
 callers (gpointer data)
 {
   Fixture *fixture = data;
-  Seen *seen = g_new0 (Seen, 1);
+  CallerResults *seen = g_new0 (CallerResults, 1);
   gboolean refused = FALSE;
   int fds[READERS];
 
   for (guint i = 0; i < READERS; i++)
     fds[i] = ask ();
-  g_usleep (CLOSED_US);
+  g_usleep (STALLS_CLOSED_US);
   for (guint i = 0; i < READERS; i++)
     {
       refused = FALSE;
@@ -136,21 +136,21 @@
 }
 
 static void
-test_readers_that_take_nothing_cost_a_bound (void **state)
+test_memory_for_stalled_readers_is_bounded (void **state)
 {
   HttpLimits limits = { 1000,           32768,    1024,    10 * SECOND_US,
                         20 * SECOND_US, STALL_US, HELD_MAX };
   Fixture fixture = { .body = g_strnfill (ANSWER_BYTES, 'x') };
   g_autoptr (GError) error = NULL;
-  g_autofree Seen *seen = NULL;
+  g_autofree CallerResults *seen = NULL;
   GThread *thread;
 
   fixture.loop = loop_create (clock_create_boottime ());
   fixture.server =
       http_server_create (fixture.loop, ADDRESS, &limits, on_request, &fixture, &error);
   assert_non_null (fixture.server);
-  http_server_set_let_go (fixture.server, on_let_go, &fixture);
-  http_server_set_full (fixture.server, on_full, &fixture);
+  http_server_set_stall_func (fixture.server, on_stall, &fixture);
+  http_server_set_full_func (fixture.server, on_full, &fixture);
   loop_add_prepare (fixture.loop, look, &fixture);
   thread = g_thread_new ("callers", callers, &fixture);
   loop_run (fixture.loop);
@@ -159,7 +159,7 @@
   assert_in_range (seen->cut, 1, HELD_MAX / ANSWER_BYTES + 1);
   assert_int_equal (seen->refused, READERS - seen->cut);
   assert_int_equal (fixture.full, seen->refused);
-  assert_int_equal (fixture.let_go, seen->cut);
+  assert_int_equal (fixture.stall_close, seen->cut);
   /* The stalled connections have been closed, and there is room again. */
   assert_true (seen->last > ANSWER_BYTES);
   assert_int_equal (http_server_active (fixture.server), 0);
@@ -171,7 +171,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_readers_that_take_nothing_cost_a_bound),
+    cmocka_unit_test (test_memory_for_stalled_readers_is_bounded),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/io/tests/test-worker.c
+++ b/io/tests/test-worker.c
@@ -89,7 +89,7 @@
 }
 
 static void
-test_jobs_run_beside_the_loop_in_order (void **state)
+test_jobs_run_in_order_on_the_thread (void **state)
 {
   Fixture fixture = setup ();
   gint freed = 0;
@@ -104,7 +104,7 @@
 
 /* The owner of a job may no longer exist when the worker is destroyed. */
 static void
-test_what_is_not_done_at_the_end_is_freed_and_not_told (void **state)
+test_unfinished_jobs_are_freed_without_done (void **state)
 {
   Fixture fixture = setup ();
   gint freed = 0;
@@ -120,8 +120,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_jobs_run_beside_the_loop_in_order),
-    cmocka_unit_test (test_what_is_not_done_at_the_end_is_freed_and_not_told),
+    cmocka_unit_test (test_jobs_run_in_order_on_the_thread),
+    cmocka_unit_test (test_unfinished_jobs_are_freed_without_done),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/wire/tests/test-wire.c
+++ b/wire/tests/test-wire.c
@@ -19,7 +19,7 @@
 }
 
 static void
-test_record_survives_any_cut (void **state)
+test_a_record_is_read_after_any_split (void **state)
 {
   g_autoptr (GByteArray) message = bytes_of ("hello, sidecar");
   g_autoptr (GByteArray) stream = g_byte_array_new ();
@@ -94,7 +94,7 @@
 }
 
 static void
-test_denied_and_cut_replies_are_told_apart (void **state)
+test_denied_and_truncated_replies_differ (void **state)
 {
   g_autoptr (GByteArray) denied = wire_reply_encode_denied (9);
   sw_part_res back = { 0 };
@@ -111,10 +111,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_record_survives_any_cut),
+    cmocka_unit_test (test_a_record_is_read_after_any_split),
     cmocka_unit_test (test_record_joins_fragments_and_bounds_them),
     cmocka_unit_test (test_call_and_reply_round_trip),
-    cmocka_unit_test (test_denied_and_cut_replies_are_told_apart),
+    cmocka_unit_test (test_denied_and_truncated_replies_differ),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
