--- a/tests/proc/fleet-http.c
+++ b/tests/proc/fleet-http.c
@@ -3,7 +3,7 @@
 #include <curl/curl.h>
 #include <string.h>
 
-/* Longer than any answer may take; it only keeps a broken test from hanging. */
+/* Longer than any answer may take, so that a broken test does not hang. */
 #define CALL_TIMEOUT_S 60L
 
 static size_t
--- a/tests/proc/fleet-process.c
+++ b/tests/proc/fleet-process.c
@@ -20,7 +20,7 @@
   return g_build_filename (build ? build : "build", name, NULL);
 }
 
-/* A test that ends in any way, by a signal too, takes its processes with it. */
+/* Makes the kernel kill the process when the test ends in any way, also by a signal. */
 static void
 end_with_the_test (gpointer data)
 {
--- a/tests/proc/fleet-settings.c
+++ b/tests/proc/fleet-settings.c
@@ -22,7 +22,7 @@
   g_file_set_contents (path, text, -1, NULL);
 }
 
-/* Nobody listens at the second. */
+/* Returns port 1, where nothing listens, for a node from which the platform is hidden. */
 static char *
 platform_address (const Fleet *fleet, guint i)
 {
@@ -31,7 +31,7 @@
   return fleet_address ("platform", 0);
 }
 
-/* What deploy/node.json is filled to on the users' platform, with shorter times. */
+/* Writes what deploy/node.json becomes on the users' platform, with shorter times. */
 static void
 write_objects_settings (Fleet *fleet, guint i, const char *path)
 {
--- a/tests/proc/fleet.c
+++ b/tests/proc/fleet.c
@@ -20,10 +20,10 @@
                                { "ready", 8600 },   { "registrations", 8700 },
                                { "platform", 8900 } };
 
-/* The fleet of the running test, for the teardown of one that failed half way. */
+/* The fleet of the running test, which fleet_teardown() destroys if the test failed. */
 static Fleet *current;
 
-/* Fleets beside each other need ports of their own. */
+/* Fleets that run side by side need different ports. */
 static guint
 port_offset (void)
 {
--- a/tests/proc/fleet.h
+++ b/tests/proc/fleet.h
@@ -1,6 +1,7 @@
 /*
- * A small fleet of real processes for the process tests: one platform, targets, nodes
- * and relays on loopback. Only this harness starts processes; the product's never do.
+ * A harness for the process tests. It starts a small fleet of real processes on loopback:
+ * one platform, targets, nodes and relays. Only this harness starts processes; the
+ * product never does.
  */
 #ifndef TESTS_FLEET_H
 #define TESTS_FLEET_H
@@ -8,81 +9,88 @@
 #include <glib.h>
 
 #define FLEET_NODES_MAX 64
-/* Of the operator that every node knows. */
+/* The token of the operator that every node accepts. */
 #define FLEET_TOKEN "process-test-operator"
 
 typedef struct Fleet Fleet;
 
-/* One HTTP answer; status 0 for none. */
+/* An HTTP answer; the status is 0 when none was received. */
 typedef struct
 {
   long status;
   char *outcome;
   char *retry_after;
   char *ticket;
-  char *connection; /* the header, "" for none */
+  char *connection; /* the Connection header, "" when absent */
   char *body;
 } Answer;
 
-/* `nodes` nodes, each with a target (slots, latency) beside it; nothing runs yet. */
+/* Creates a fleet of `nodes` nodes, each with a target beside it. Starts no process. */
 Fleet *fleet_create (guint nodes);
-/* Ends what is left by SIGKILL and removes the files. */
+/* Kills all remaining processes and frees the fleet. Removes its files, unless
+   fleet_keep_files() was called. */
 void fleet_destroy (Fleet *fleet);
 
 guint fleet_nodes (const Fleet *fleet);
 
-/* The users' platform: the store's stand-in, nodes beside targets that register. */
+/* Selects the users' platform: the store's stand-in, and nodes whose targets register. */
 void fleet_use_objects (Fleet *fleet);
-/* From their next start on nodes of that kind are told that the platform says which data
-   halls are evacuated: those that watch it then watch two kinds of object. */
+/* Enables the platform's evacuations in the settings of nodes on the users' platform,
+   from their next start on. Nodes that watch the store then watch two kinds of object. */
 void fleet_use_evacuations (Fleet *fleet);
-/* From here on nodes of that kind are told that their whole fleet starts for the first
-   time. */
+/* Sets "first_start" in the settings of nodes on the users' platform, from their next
+   start on: the whole fleet starts for the first time. */
 void fleet_set_first_start (Fleet *fleet, gboolean first_start);
-/* How long nodes of that kind linger after SIGTERM; they have four times that to end. */
+/* Sets how long nodes on the users' platform linger after SIGTERM, from their next start
+   on. Their grace period is four times that. */
 void fleet_set_linger (Fleet *fleet, guint linger_ms);
 
-/* A cmocka teardown: ends the fleet of a test that failed before its end. */
+/* A cmocka teardown that destroys the fleet of a test that failed before its end. */
 int fleet_teardown (void **state);
 
-/* Nodes (bits) that have no way to the platform from their next start on. */
+/* Makes the platform unreachable for these nodes (bits), from their next start on. */
 void fleet_hide_platform (Fleet *fleet, guint64 nodes);
 
 void fleet_start_platform (Fleet *fleet);
 void fleet_start_target (Fleet *fleet, guint i, guint slots, guint latency_ms);
 void fleet_start_node (Fleet *fleet, guint i);
-/* Lets the others reach node `i` through a relay; before the node is started. */
+/* Starts a relay through which the other nodes reach node `i`. Call this before the node
+   starts. */
 void fleet_start_relay (Fleet *fleet, guint i);
-/* Platform, all targets and nodes; waits until every node is ready. */
+/* Starts the platform, all targets and all nodes, and waits until every node is ready. */
 void fleet_start (Fleet *fleet, guint slots, guint latency_ms);
 
 void fleet_signal_node (Fleet *fleet, guint i, int signal);
 void fleet_kill_target (Fleet *fleet, guint i);
 void fleet_signal_target (Fleet *fleet, guint i, int signal);
-/* Whether a target's process has ended by itself; it may be started again then. */
+/* Returns TRUE once, when the target's process has ended by itself. The target may then
+   be started again. */
 gboolean fleet_target_ended (Fleet *fleet, guint i);
-/* Whether a node's process has ended; then *code is as fleet_wait_node says. */
+/* Returns TRUE once, when the node's process has ended; *code is then set to the value
+   that fleet_wait_node() would return. */
 gboolean fleet_node_ended (Fleet *fleet, guint i, int *code);
-/* Leaves the folder with logs and settings when the fleet is destroyed. */
+/* Keeps the folder with logs and settings when the fleet is destroyed. */
 void fleet_keep_files (Fleet *fleet);
-/* Waits for a node to end; its exit code, or -1 for a signal. */
+/* Waits for a node to end. Returns its exit code, or -1 when a signal ended it. */
 int fleet_wait_node (Fleet *fleet, guint i);
 
-/* Any HTTP call; `headers` are lines, NULL-terminated, or NULL. The caller frees it. */
+/* Makes an HTTP call. `headers` are header lines, NULL-terminated, or NULL. The caller
+   frees the answer. */
 Answer *fleet_http (const char *address,
                     const char *method,
                     const char *path,
                     const char *const *headers,
                     const char *body);
 
-/* Calls: "GET" and so on; NULL body for none. The caller frees the answer. */
+/* Calls a node with `id` as X-Request-Id; NULL sends no body. The caller frees it. */
 Answer *fleet_call (Fleet *fleet,
                     guint node,
                     const char *method,
                     const char *path,
                     const char *id,
                     const char *body);
-/* The same with a ticket (or "new"). */
+/* Calls a node by POST with a ticket, or with "new" to get one. The caller frees the
+   answer. */
 Answer *fleet_call_ticket (Fleet *fleet,
                            guint node,
                            const char *path,
@@ -94,39 +102,46 @@
 void answer_free (Answer *answer);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (Answer, answer_free)
 
-/* Stand-ins' controls: the query, as "answer=silent". */
+/* These functions send a control query, such as "answer=silent", to a stand-in. */
 void fleet_control_target (Fleet *fleet, guint i, const char *query);
 void fleet_control_platform (Fleet *fleet, const char *query);
 void fleet_control_relay (Fleet *fleet, guint i, const char *query);
 
-/* How often a target ran a request, and all that it ran as "ID COUNT" lines. */
+/* Returns how often a target ran a request. */
 guint fleet_runs (Fleet *fleet, guint target, const char *id);
+/* Returns all requests that a target ran, as "ID COUNT" lines. The caller frees them. */
 char *fleet_ids (Fleet *fleet, guint target);
 
-/* One service "pay" on all nodes' targets, with POST /pay and GET /read. */
+/* Returns an intent with one service "pay" on the targets of all nodes, for POST /pay and
+   GET /read. `extra` adds members to the service; NULL adds none. The caller frees it. */
 char *fleet_intent (Fleet *fleet, guint slots, guint floor, const char *extra);
-/* Plans and confirms through a node; the status of the confirmation. */
+/* Plans and confirms an intent through a node. Returns the confirmation's HTTP status. */
 long fleet_apply (Fleet *fleet, guint node, const char *intent, gboolean force);
-/* The confirmation's body for an intent, by a plan made now. */
+/* Plans an intent through a node and returns the body that confirms the plan. The caller
+   frees it. */
 char *fleet_plan (Fleet *fleet, guint node, const char *intent, gboolean force);
 
-/* A number out of a node's status, by a JSON path such as "$.generation"; -1 for none. */
+/* Returns a number or boolean of a node's status, by a JSON path such as "$.generation",
+   or -1 when it is absent. */
 gint64 fleet_status (Fleet *fleet, guint node, const char *path);
-/* Waits until the number is at least that; fails the test after long enough. */
+/* Waits until the number is at least `at_least`, and fails the test on a timeout. */
 void fleet_await (Fleet *fleet, guint node, const char *path, gint64 at_least);
 
-/* Starts the load tool on the nodes (bits) with more words, by spaces. */
+/* Starts the load generator on the nodes (bits). `extra` holds further arguments,
+   separated by spaces. */
 GPid fleet_load (Fleet *fleet, guint nodes, const char *extra);
-/* Waits for it and shows what it printed; its exit code. */
+/* Waits for the load generator and prints its output. Returns its exit code, or -1 when a
+   signal ended it. */
 int fleet_join (Fleet *fleet, GPid pid);
 
-/* Where something listens; FLEET_PORT_OFFSET in the environment is added to its port. */
+/* Returns the address of a listener, or NULL for an unknown kind. FLEET_PORT_OFFSET in
+   the environment is added to the port. The caller frees the address. */
 char *fleet_address (const char *kind, guint i);
 
-/* Now, on the clock of the nodes and stand-ins of this machine. */
+/* Returns the current time on the clock that nodes and stand-ins on this machine use. */
 gint64 fleet_now_us (void);
 
-/* A path in the fleet's folder; the caller frees it. */
+/* Returns a path in the fleet's folder. The caller frees it. */
 char *fleet_path (Fleet *fleet, const char *name);
 
 #endif
--- a/tests/proc/requests-fleet.c
+++ b/tests/proc/requests-fleet.c
@@ -36,6 +36,6 @@
     fail_msg ("%s %s %s: %s (%ld %s)", method, path, id, answer->outcome, answer->status,
               answer->body);
   if (body_part && !strstr (answer->body, body_part))
-    fail_msg ("%s: the answer is not its own: %s", id, answer->body);
+    fail_msg ("%s: the answer belongs to another request: %s", id, answer->body);
   assert_null (strstr (answer->body, "STOLEN"));
 }
--- a/tests/proc/requests-fleet.h
+++ b/tests/proc/requests-fleet.h
@@ -1,21 +1,21 @@
 /*
- * A fleet for tests of single requests: the service "pay" behind POST /pay and GET /read,
- * a target beside each node.
+ * A fleet for tests of single requests. The service "pay" serves POST /pay and GET /read,
+ * with a target beside each node.
  */
 #ifndef TESTS_REQUESTS_FLEET_H
 #define TESTS_REQUESTS_FLEET_H
 
 #include "fleet.h"
 
-/* Of each target. */
+/* The slots of each target. */
 #define REQUESTS_SLOTS 10
 
-/* Starts the fleet, and waits until all nodes have its configuration. */
+/* Starts the fleet and waits until all nodes have its configuration. */
 Fleet *requests_start (guint nodes, guint latency_ms);
 
 /*
- * Sends a request through node 0, and fails the test unless it ends with that outcome,
- * and `body_part` (NULL for any) is in the answer.
+ * Sends a request through node 0. Fails the test unless the request ends with `outcome`
+ * and the answer contains `body_part`; NULL accepts any body.
  */
 void requests_expect (Fleet *fleet,
                       const char *method,
--- a/tests/proc/test-hostile.c
+++ b/tests/proc/test-hostile.c
@@ -1,6 +1,6 @@
 /*
- * Callers that send what is no request, or only part of one: each gets an error, nothing
- * of it runs, and others are not held up.
+ * Callers that send malformed or partial requests. Each gets an error, nothing of its
+ * request runs, and other callers are not delayed.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,7 +19,8 @@
 
 #define READ_MAX 4096
 
-/* Sends bytes as they are, half-closes if asked, and reads until the end. */
+/* Sends the bytes unchanged, half-closes the connection if asked, and returns all that is
+   read until its end. */
 static char *
 send_raw (const char *bytes, gboolean half_close)
 {
@@ -73,19 +74,19 @@
               " 400 ");
   expect_raw ("GET /elsewhere HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", FALSE,
               " 404 ");
-  /* Half closed in the middle of a request: no answer, and nothing runs. */
+  /* A request that is half-closed in its middle gets no answer, and nothing runs. */
   g_free (send_raw ("POST /pay HTTP/1.1\r\nHost: a\r\nX-Request-Id: id-half\r\n"
                     "Content-Length: 10\r\n\r\nabc",
                     TRUE));
   assert_int_equal (fleet_runs (fleet, 0, "id-half"), 0);
-  /* A caller that never ends its header is let go with an answer. */
+  /* A caller that never ends its header gets an answer and is disconnected. */
   expect_raw ("GET /read HTTP/1.1\r\nHost: a\r\nX-Slow: ", FALSE, " 408 ");
   requests_expect (fleet, "POST", "/pay", "id-after", "done", "id-after");
   fleet_destroy (fleet);
 }
 
-/* One answer, that is a refusal, and the end of the connection: what follows the header
-   is nobody's next request. */
+/* Expects one answer, a refusal, and then the end of the connection, because the bytes
+   after the header must not be taken for the next request. */
 static void
 expect_refusal (const char *bytes)
 {
@@ -104,7 +105,7 @@
                   "Content-Length : 5\r\n\r\nhello");
   expect_refusal ("POST /pay HTTP/1.1\r\nHost: a\r\nX-Request-Id: id-tab\r\n"
                   "Content-Length\t: 5\r\n\r\nhello");
-  /* The library refuses this by itself, and sends the header of its answer twice. */
+  /* libmicrohttpd refuses this by itself, and sends the header of its answer twice. */
   expect_raw ("POST /pay HTTP/1.1\r\nHost: a\r\nX-Request-Id: id-sign\r\n"
               "Content-Length: +5\r\n\r\nhello",
               FALSE, " 400 ");
@@ -113,7 +114,7 @@
   assert_int_equal (fleet_runs (fleet, 0, "id-blank"), 0);
   assert_int_equal (fleet_runs (fleet, 0, "id-tab"), 0);
   assert_int_equal (fleet_runs (fleet, 0, "id-sign"), 0);
-  /* What is right stays right: chunks, a half close after a whole request, pipelining. */
+  /* Chunked bodies and pipelining stay accepted. */
   expect_raw ("POST /pay HTTP/1.1\r\nHost: a\r\nX-Request-Id: id-chunks\r\n"
               "Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
               "5\r\nhello\r\n0\r\n\r\n",
@@ -122,7 +123,7 @@
               "GET /read HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
               FALSE, " 200 ");
   assert_int_equal (fleet_runs (fleet, 0, "id-chunks"), 1);
-  /* A chunk of no size, and a body that ends a byte short: nothing runs. */
+  /* A chunk without a size and a body that ends one byte short run nothing. */
   g_free (send_raw ("POST /pay HTTP/1.1\r\nHost: a\r\nX-Request-Id: id-chunk\r\n"
                     "Transfer-Encoding: chunked\r\n\r\nxyz\r\nhello\r\n0\r\n\r\n",
                     TRUE));
--- a/tests/proc/test-operations.c
+++ b/tests/proc/test-operations.c
@@ -1,6 +1,6 @@
 /*
- * Operations between real processes: floors, planned stops, departures, configuration
- * under races, lost answers, outages, restarts and frozen nodes.
+ * Tests of operations with real processes: floors, planned stops, departures, and
+ * configuration under races, lost answers, outages, restarts and frozen nodes.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -53,7 +53,8 @@
 
   for (guint i = 0; i < 3; i++)
     fleet_control_target (fleet, i, "error_percent=60");
-  /* Waits for the first ejection, and then looks on for a while. */
+  /* Rounds count only after the first ejection, so that the floor is checked for a while
+     after it. */
   for (guint round = 0; round<60; round += sick> 0)
     for (guint i = 0; i < 3; i++)
       {
@@ -75,8 +76,8 @@
 test_planned_stop_cuts_nothing (void **state)
 {
   Fleet *fleet = start_fleet (3, 0, 200);
-  /* Two loads: one to the other nodes, which use the stopping node's target; one to the
-     stopping node itself, that ends before the node stops listening. */
+  /* One load goes to the other nodes, which use the stopping node's target. The other
+     goes to the stopping node itself, and ends before the node stops listening. */
   GPid others = fleet_load (fleet, 3, "-c pay:POST:/pay:1:100 -n 12 -t 4 --strict");
   GPid own = fleet_load (fleet, 4, "-c pay:POST:/pay:1:100 -n 12 -t 1 --strict");
 
@@ -99,12 +100,13 @@
   g_usleep (100000);
   fleet_signal_node (fleet, 0, SIGINT);
   assert_int_equal (fleet_wait_node (fleet, 0), 3);
-  /* Those that are cut are told so; none is left without an answer. */
+  /* Requests that the stop aborts are answered, too. */
   fleet_join (fleet, load);
   fleet_destroy (fleet);
 }
 
-/* The targets answer all the while, also while the last answers of the stop go out. */
+/* Targets keep answering while the stopping node sends its last answers. Their answers to
+   requests that the node has already aborted must not fail an assertion. */
 static void
 test_what_a_stop_cuts_is_over (void **state)
 {
@@ -126,7 +128,7 @@
   fleet_destroy (fleet);
 }
 
-/* A supervisor may stop a node for two reasons at once. */
+/* A supervisor may send SIGTERM twice when it has two reasons to stop a node. */
 static void
 test_a_second_term_cuts_nothing (void **state)
 {
@@ -148,11 +150,11 @@
   g_autofree char *text = fleet_ids (fleet, target);
   g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
 
-  /* The last line end leaves an empty piece, where there is any line. */
+  /* The last line feed leaves an empty piece, if there is any line. */
   return *text ? g_strv_length (lines) - 1 : 0;
 }
 
-/* Whatever the way it was told, a target that leaves gets nothing new. */
+/* Expects that the target runs no new requests while target 0 runs another 100. */
 static void
 expect_no_new_work (Fleet *fleet, guint target)
 {
@@ -216,7 +218,8 @@
   g_autoptr (Answer) again = NULL;
 
   fleet_start (fleet, SLOTS, 3);
-  /* The service, two shards and the head: each first write's answer is lost. */
+  /* The writes are the service, two shards and the head. The answer to the first attempt
+     at each is lost. */
   body = fleet_plan (fleet, 0, intent, FALSE);
   fleet_control_platform (fleet, "lose=4");
   {
@@ -232,7 +235,7 @@
       assert_int_equal (answer->status, 200);
   }
   await_generation (fleet, 3, 1);
-  /* Confirming once more, elsewhere, changes nothing. */
+  /* A second confirmation, through another node, changes nothing. */
   again = fleet_operate (fleet, 2, "POST", "/v1/confirm", body);
   assert_int_equal (again->status, 200);
   assert_int_equal (fleet_status (fleet, 2, GENERATION), 1);
@@ -298,7 +301,7 @@
   g_autoptr (Answer) refused = NULL;
   g_autofree char *body = NULL;
 
-  /* A node that misses two changes and then wakes up goes forward only. */
+  /* A frozen node that misses two changes resumes with the newest generation. */
   fleet_signal_node (fleet, 3, SIGSTOP);
   assert_int_equal (fleet_apply (fleet, 0, "{\"drain\":[\"pay-2\"]}", TRUE), 200);
   await_generation (fleet, 3, 2);
@@ -308,7 +311,7 @@
   fleet_signal_node (fleet, 3, SIGCONT);
   await_generation (fleet, 4, 3);
 
-  /* With the platform away a node restarts, and still has the newest. */
+  /* A node that restarts while the platform is down still gets the newest generation. */
   fleet_signal_node (fleet, 0, SIGKILL);
   fleet_start_node (fleet, 0);
   fleet_await (fleet, 0, "$.ready", 1);
@@ -318,7 +321,7 @@
 
     assert_string_equal (answer->outcome, "done");
   }
-  /* A change cannot be accepted meanwhile, and says so. */
+  /* Meanwhile a change is refused, because it cannot be stored. */
   body = fleet_plan (fleet, 0, "{\"restore\":[\"pay-1\"]}", FALSE);
   refused = fleet_operate (fleet, 0, "POST", "/v1/confirm", body);
   assert_int_equal (refused->status, 503);
@@ -332,7 +335,8 @@
   fleet_destroy (fleet);
 }
 
-/* A call on the nodes' listener, as a stranger's first; TRUE when it is answered. */
+/* Makes a call to the nodes' listener as the first on its connection, without SW_HELLO
+   before it. Returns the kind of the reply. */
 static WireReply
 call_as_stranger (
     guint32 procedure, xdrproc_t args_proc, void *args, xdrproc_t proc, void *result)
--- a/tests/proc/test-paths.c
+++ b/tests/proc/test-paths.c
@@ -1,6 +1,6 @@
 /*
- * Nodes that stand still and connections that go silent: what may not be repeated is not
- * sent there, and a connection that has gone silent is replaced.
+ * Stopped nodes and silent connections. Requests that may not be repeated are not sent to
+ * a node that does not answer, and a connection that has gone silent is replaced.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,18 +14,18 @@
 #include "requests-fleet.h"
 
 #define SLOTS REQUESTS_SLOTS
-/* After so long without a word a node counts as quiet (50 ms, attempt-send.c). */
+/* Long enough that a node counts as quiet: 50 ms without a message (attempt-send.c). */
 #define QUIET_US 200000
-/* A wait that never ends is a failure; how long it takes is not measured here. */
+/* The bound only keeps a broken test from hanging; the wait is not measured. */
 #define SILENT_TRIES 1000u
 #define SILENT_PAUSE_US 20000
 
-/* A node that has just gone takes nothing with it that may not be repeated: it is asked
-   before the request travels. */
+/* A node that has just stopped receives no request that may not be repeated, because it
+   is pinged before the request is sent. */
 static void
 test_nothing_unrepeatable_is_sent_to_a_node_that_has_gone (void **state)
 {
-  /* The first and the last are of one data hall. */
+  /* The first and the last node are in one data hall. */
   Fleet *fleet = requests_start (4, 2);
 
   for (guint round = 0; round < 3; round++)
@@ -60,8 +60,8 @@
   return (guint)strlen (ids);
 }
 
-/* The connections to a node go silent without an end, and new ones would work; the first
-   request after that comes so much later. */
+/* All connections to a node go silent without being closed, while new ones would work.
+   The first request is sent `pause_us` later. */
 static void
 expect_replaced (gulong pause_us)
 {
@@ -102,7 +102,8 @@
   expect_replaced (0);
 }
 
-/* A quiet node is asked before a request goes there: the question is what is lost. */
+/* A quiet node is pinged before a request is sent, so the ping is lost and not the
+   request. */
 static void
 test_a_silent_connection_that_only_questions_meet_is_replaced (void **state)
 {
--- a/tests/proc/test-requests.c
+++ b/tests/proc/test-requests.c
@@ -1,6 +1,7 @@
 /*
- * Requests through real processes under faults: whole and own answers, at most once,
- * honest outcomes; kills, freezes and broken links.
+ * Tests of requests under faults with real processes. Despite kills, freezes and broken
+ * links each caller gets the complete answer to its own request, a request runs at most
+ * once, and the outcome reported is true.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -45,7 +46,7 @@
 {
   Fleet *fleet = requests_start (1, 2);
 
-  /* A good exchange first: a client that kept the connection would now use it again. */
+  /* After a good exchange a client that keeps connections would reuse this one. */
   requests_expect (fleet, "POST", "/pay", "id-first", "done", "id-first");
   fleet_control_target (fleet, 0, "answer=hangup");
   for (guint i = 0; i < 10; i++)
@@ -88,7 +89,7 @@
   fleet_destroy (fleet);
 }
 
-/* Adds a target's "ID COUNT" lines up. */
+/* Adds the counts of a target's "ID COUNT" lines to `runs`. */
 static void
 add_runs (Fleet *fleet, guint target, GHashTable *runs)
 {
@@ -109,7 +110,7 @@
     }
 }
 
-/* What callers were told against what the targets ran. */
+/* Compares the outcomes that callers were told with what the targets ran. */
 static void
 compare_ids (Fleet *fleet, guint targets, const char *list)
 {
@@ -198,7 +199,7 @@
         }
     }
   assert_int_equal (fleet_join (fleet, load), 0);
-  /* What was on its way when the load ended has ended too once no slot is in use. */
+  /* Requests may still be running when the load ends; the pause lets them end. */
   for (guint i = 0; i < 4; i++)
     fleet_await (fleet, i, "$.ready", 1);
   g_usleep (500000);
@@ -214,7 +215,8 @@
                           "-c pay:POST:/pay:1:3000 -c read:GET:/read:1:0 "
                           "-c big:POST:/pay/big:1:100000 -n 200 -t 4");
 
-  /* The tool ends with 1 when one answer was not its request's own, or not whole. */
+  /* The load generator exits with 1 when an answer is incomplete or belongs to another
+     request. */
   assert_int_equal (fleet_join (fleet, load), 0);
   fleet_destroy (fleet);
 }
--- a/tests/proc/test-tickets.c
+++ b/tests/proc/test-tickets.c
@@ -1,4 +1,4 @@
-/* Requests with a ticket run once, wherever and however often they are asked for. */
+/* A request with a ticket runs once, however often and through which nodes it is sent. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -62,7 +62,7 @@
 
   assert_int_equal (fresh->status, 201);
   assert_non_null (fresh->ticket);
-  /* Three askers at once, each through another node: one run, one answer for all. */
+  /* Three callers at once, each through another node, cause one run and one answer. */
   for (guint i = 0; i < 3; i++)
     {
       askers[i] = (Asker){ fleet, i, fresh->ticket, NULL };
@@ -76,7 +76,8 @@
       assert_string_equal (askers[i].answer->body, askers[0].answer->body);
     }
   assert_int_equal (runs_everywhere (fleet, "id-twin"), 1);
-  /* Later, and after the sidecar has forgotten by a restart: never again. */
+  /* The ticket never runs again, not even after the sidecar's restart has cleared its
+     memory. */
   home = ran_at (fleet, "id-twin");
   fleet_signal_node (fleet, home, SIGKILL);
   fleet_start_node (fleet, home);
