--- a/tests/proc/fleet-http.c
+++ b/tests/proc/fleet-http.c
@@ -129,7 +129,7 @@
 }
 
 Answer *
-fleet_operate (
+fleet_call_operators (
     Fleet *fleet, guint node, const char *method, const char *path, const char *body)
 {
   g_autofree char *address = fleet_address ("operators", node);
--- a/tests/proc/fleet-operator.c
+++ b/tests/proc/fleet-operator.c
@@ -37,7 +37,8 @@
 char *
 fleet_plan (Fleet *fleet, guint node, const char *intent, gboolean force)
 {
-  g_autoptr (Answer) answer = fleet_operate (fleet, node, "POST", "/v1/plan", intent);
+  g_autoptr (Answer) answer =
+      fleet_call_operators (fleet, node, "POST", "/v1/plan", intent);
   g_autoptr (JsonNode) plan = NULL;
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   g_autoptr (JsonNode) root = NULL;
@@ -66,7 +67,8 @@
 fleet_apply (Fleet *fleet, guint node, const char *intent, gboolean force)
 {
   g_autofree char *body = fleet_plan (fleet, node, intent, force);
-  g_autoptr (Answer) answer = fleet_operate (fleet, node, "POST", "/v1/confirm", body);
+  g_autoptr (Answer) answer =
+      fleet_call_operators (fleet, node, "POST", "/v1/confirm", body);
 
   return answer->status;
 }
@@ -74,7 +76,8 @@
 gint64
 fleet_status (Fleet *fleet, guint node, const char *path)
 {
-  g_autoptr (Answer) answer = fleet_operate (fleet, node, "GET", "/v1/status", NULL);
+  g_autoptr (Answer) answer =
+      fleet_call_operators (fleet, node, "GET", "/v1/status", NULL);
   g_autoptr (JsonNode) root =
       answer->status ? json_from_string (answer->body, NULL) : NULL;
   g_autoptr (JsonNode) found = root ? json_path_query (path, root, NULL) : NULL;
--- a/tests/proc/fleet-private.h
+++ b/tests/proc/fleet-private.h
@@ -36,7 +36,7 @@
 /* Starts a process, and appends its output to a file in the fleet's folder. */
 GPid fleet_spawn (Fleet *fleet, const char *log_name, char **words);
 /* Kills the process by SIGKILL, if there is one, and clears *pid. */
-void fleet_end (GPid *pid);
+void fleet_kill_process (GPid *pid);
 
 /* Waits until the address answers HTTP, and fails the test on a timeout. */
 void fleet_await_port (const char *address, const char *path);
--- a/tests/proc/fleet-process.c
+++ b/tests/proc/fleet-process.c
@@ -22,7 +22,7 @@
 
 /* Makes the kernel kill the process when the test ends in any way, also by a signal. */
 static void
-end_with_the_test (gpointer data)
+kill_with_parent (gpointer data)
 {
   prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
@@ -36,14 +36,14 @@
   GPid pid = 0;
 
   if (!g_spawn_async_with_fds (NULL, words, NULL, G_SPAWN_DO_NOT_REAP_CHILD,
-                               end_with_the_test, NULL, &pid, -1, fd, fd, &error))
+                               kill_with_parent, NULL, &pid, -1, fd, fd, &error))
     fail_msg ("%s", error->message);
   close (fd);
   return pid;
 }
 
 void
-fleet_end (GPid *pid)
+fleet_kill_process (GPid *pid)
 {
   if (!*pid)
     return;
@@ -74,13 +74,13 @@
     return;
   kill (fleet->node_pids[i], signal);
   if (signal == SIGKILL)
-    fleet_end (&fleet->node_pids[i]);
+    fleet_kill_process (&fleet->node_pids[i]);
 }
 
 void
 fleet_kill_target (Fleet *fleet, guint i)
 {
-  fleet_end (&fleet->targets[i]);
+  fleet_kill_process (&fleet->targets[i]);
 }
 
 void
--- a/tests/proc/fleet-standins.c
+++ b/tests/proc/fleet-standins.c
@@ -60,7 +60,7 @@
 }
 
 GPid
-fleet_load (Fleet *fleet, guint nodes, const char *extra)
+fleet_start_load (Fleet *fleet, guint nodes, const char *extra)
 {
   g_autofree char *path = fleet_program ("standins/standin-load");
   GPtrArray *words = g_ptr_array_new_with_free_func (g_free);
@@ -84,7 +84,7 @@
 }
 
 int
-fleet_join (Fleet *fleet, GPid pid)
+fleet_wait_load (Fleet *fleet, GPid pid)
 {
   g_autofree char *path = fleet_path (fleet, "load");
   g_autofree char *text = NULL;
--- a/tests/proc/fleet.c
+++ b/tests/proc/fleet.c
@@ -77,11 +77,11 @@
 
   for (guint i = 0; i < FLEET_NODES_MAX; i++)
     {
-      fleet_end (&fleet->node_pids[i]);
-      fleet_end (&fleet->targets[i]);
-      fleet_end (&fleet->relays[i]);
+      fleet_kill_process (&fleet->node_pids[i]);
+      fleet_kill_process (&fleet->targets[i]);
+      fleet_kill_process (&fleet->relays[i]);
     }
-  fleet_end (&fleet->platform);
+  fleet_kill_process (&fleet->platform);
   while (!fleet->keep_files && (name = g_dir_read_name (dir)))
     {
       g_autofree char *path = fleet_path (fleet, name);
--- a/tests/proc/fleet.h
+++ b/tests/proc/fleet.h
@@ -97,7 +97,7 @@
                            const char *id,
                            const char *ticket,
                            const char *body);
-Answer *fleet_operate (
+Answer *fleet_call_operators (
     Fleet *fleet, guint node, const char *method, const char *path, const char *body);
 void answer_free (Answer *answer);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (Answer, answer_free)
@@ -129,10 +129,10 @@
 
 /* Starts the load generator on the nodes (bits). `extra` holds further arguments,
    separated by spaces. */
-GPid fleet_load (Fleet *fleet, guint nodes, const char *extra);
+GPid fleet_start_load (Fleet *fleet, guint nodes, const char *extra);
 /* Waits for the load generator and prints its output. Returns its exit code, or -1 when a
    signal ended it. */
-int fleet_join (Fleet *fleet, GPid pid);
+int fleet_wait_load (Fleet *fleet, GPid pid);
 
 /* Returns the address of a listener, or NULL for an unknown kind. FLEET_PORT_OFFSET in
    the environment is added to the port. The caller frees the address. */
--- a/tests/proc/test-hostile.c
+++ b/tests/proc/test-hostile.c
@@ -52,7 +52,7 @@
 }
 
 static void
-test_hostile_callers_get_errors_and_hold_nothing_up (void **state)
+test_hostile_callers_get_errors_and_delay_nobody (void **state)
 {
   Fleet *fleet = requests_start (1, 2);
   g_autofree char *junk = g_strnfill (60000, 'x');
@@ -97,7 +97,7 @@
 }
 
 static void
-test_header_lines_that_mislead_are_refused (void **state)
+test_ambiguous_header_lines_are_refused (void **state)
 {
   Fleet *fleet = requests_start (1, 2);
 
@@ -139,10 +139,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_teardown (test_hostile_callers_get_errors_and_hold_nothing_up,
-                               fleet_teardown),
-    cmocka_unit_test_teardown (test_header_lines_that_mislead_are_refused,
+    cmocka_unit_test_teardown (test_hostile_callers_get_errors_and_delay_nobody,
                                fleet_teardown),
+    cmocka_unit_test_teardown (test_ambiguous_header_lines_are_refused, fleet_teardown),
   };
 
   signal (SIGPIPE, SIG_IGN);
--- a/tests/proc/test-operations.c
+++ b/tests/proc/test-operations.c
@@ -45,10 +45,10 @@
 }
 
 static void
-test_all_targets_gray_keeps_the_floor_and_they_come_back (void **state)
+test_failing_targets_keep_the_floor_and_recover (void **state)
 {
   Fleet *fleet = start_fleet (3, 20, 3);
-  GPid load = fleet_load (fleet, 7, "-c read:GET:/read:1:0 -r 300 -t 20");
+  GPid load = fleet_start_load (fleet, 7, "-c read:GET:/read:1:0 -r 300 -t 20");
   guint sick = 0;
 
   for (guint i = 0; i < 3; i++)
@@ -68,32 +68,32 @@
     fleet_control_target (fleet, i, "error_percent=0");
   for (guint i = 0; i < 3; i++)
     fleet_await (fleet, i, IN_SERVICE, 30);
-  fleet_join (fleet, load);
+  fleet_wait_load (fleet, load);
   fleet_destroy (fleet);
 }
 
 static void
-test_planned_stop_cuts_nothing (void **state)
+test_planned_stop_aborts_nothing (void **state)
 {
   Fleet *fleet = start_fleet (3, 0, 200);
   /* One load goes to the other nodes, which use the stopping node's target. The other
      goes to the stopping node itself, and ends before the node stops listening. */
-  GPid others = fleet_load (fleet, 3, "-c pay:POST:/pay:1:100 -n 12 -t 4 --strict");
-  GPid own = fleet_load (fleet, 4, "-c pay:POST:/pay:1:100 -n 12 -t 1 --strict");
+  GPid others = fleet_start_load (fleet, 3, "-c pay:POST:/pay:1:100 -n 12 -t 4 --strict");
+  GPid own = fleet_start_load (fleet, 4, "-c pay:POST:/pay:1:100 -n 12 -t 1 --strict");
 
   g_usleep (600000);
   fleet_signal_node (fleet, 2, SIGTERM);
-  assert_int_equal (fleet_join (fleet, own), 0);
+  assert_int_equal (fleet_wait_load (fleet, own), 0);
   assert_int_equal (fleet_wait_node (fleet, 2), 0);
-  assert_int_equal (fleet_join (fleet, others), 0);
+  assert_int_equal (fleet_wait_load (fleet, others), 0);
   fleet_destroy (fleet);
 }
 
 static void
-test_hurried_stop_says_what_it_cut (void **state)
+test_interrupted_stop_answers_aborted_requests (void **state)
 {
   Fleet *fleet = start_fleet (1, 0, 2500);
-  GPid load = fleet_load (fleet, 1, "-c pay:POST:/pay:1:100 -n 4 -t 0.2");
+  GPid load = fleet_start_load (fleet, 1, "-c pay:POST:/pay:1:100 -n 4 -t 0.2");
 
   g_usleep (600000);
   fleet_signal_node (fleet, 0, SIGINT);
@@ -101,17 +101,17 @@
   fleet_signal_node (fleet, 0, SIGINT);
   assert_int_equal (fleet_wait_node (fleet, 0), 3);
   /* Requests that the stop aborts are answered, too. */
-  fleet_join (fleet, load);
+  fleet_wait_load (fleet, load);
   fleet_destroy (fleet);
 }
 
 /* Targets keep answering while the stopping node sends its last answers. Their answers to
    requests that the node has already aborted must not fail an assertion. */
 static void
-test_what_a_stop_cuts_is_over (void **state)
+test_late_target_answers_do_not_disturb_a_stop (void **state)
 {
   Fleet *fleet = start_fleet (1, 0, 500);
-  GPid load = fleet_load (fleet, 1, "-c pay:POST:/pay:1:100 -r 18 -t 2");
+  GPid load = fleet_start_load (fleet, 1, "-c pay:POST:/pay:1:100 -r 18 -t 2");
   g_autofree char *path = fleet_path (fleet, "log");
   g_autofree char *log = NULL;
 
@@ -121,7 +121,7 @@
   g_usleep (50000);
   fleet_signal_node (fleet, 0, SIGINT);
   assert_int_equal (fleet_wait_node (fleet, 0), 3);
-  fleet_join (fleet, load);
+  fleet_wait_load (fleet, load);
   assert_true (g_file_get_contents (path, &log, NULL, NULL));
   assert_null (strstr (log, "assertion"));
   assert_non_null (strstr (log, "\"reason\":\"draining\""));
@@ -130,16 +130,16 @@
 
 /* A supervisor may send SIGTERM twice when it has two reasons to stop a node. */
 static void
-test_a_second_term_cuts_nothing (void **state)
+test_a_second_sigterm_aborts_nothing (void **state)
 {
   Fleet *fleet = start_fleet (1, 0, 700);
-  GPid load = fleet_load (fleet, 1, "-c pay:POST:/pay:1:100 -n 4 -t 0.2 --strict");
+  GPid load = fleet_start_load (fleet, 1, "-c pay:POST:/pay:1:100 -n 4 -t 0.2 --strict");
 
   g_usleep (600000);
   fleet_signal_node (fleet, 0, SIGTERM);
   g_usleep (100000);
   fleet_signal_node (fleet, 0, SIGTERM);
-  assert_int_equal (fleet_join (fleet, load), 0);
+  assert_int_equal (fleet_wait_load (fleet, load), 0);
   assert_int_equal (fleet_wait_node (fleet, 0), 0);
   fleet_destroy (fleet);
 }
@@ -156,7 +156,7 @@
 
 /* Expects that the target runs no new requests while target 0 runs another 100. */
 static void
-expect_no_new_work (Fleet *fleet, guint target)
+expect_no_new_runs (Fleet *fleet, guint target)
 {
   guint before = total_runs (fleet, target);
   guint others = total_runs (fleet, 0);
@@ -170,30 +170,30 @@
 test_drained_target_gets_no_new_work (void **state)
 {
   Fleet *fleet = start_fleet (3, 10, 5);
-  GPid load = fleet_load (fleet, 7, "-c pay:POST:/pay:1:100 -n 8 -t 10 --strict");
+  GPid load = fleet_start_load (fleet, 7, "-c pay:POST:/pay:1:100 -n 8 -t 10 --strict");
 
   assert_int_equal (fleet_apply (fleet, 1, "{\"drain\":[\"pay-2\"]}", FALSE), 200);
   await_generation (fleet, 3, 2);
   while (fleet_status (fleet, 2, "$.own_targets[0].in_use") > 0)
     g_usleep (5000);
-  expect_no_new_work (fleet, 2);
-  assert_int_equal (fleet_join (fleet, load), 0);
+  expect_no_new_runs (fleet, 2);
+  assert_int_equal (fleet_wait_load (fleet, load), 0);
   fleet_destroy (fleet);
 }
 
 static void
-test_departure_by_the_lagging_list (void **state)
+test_a_target_leaves_by_the_platforms_list (void **state)
 {
   Fleet *fleet = start_fleet (3, 10, 5);
-  GPid load = fleet_load (fleet, 7, "-c pay:POST:/pay:1:100 -n 8 -t 16 --strict");
+  GPid load = fleet_start_load (fleet, 7, "-c pay:POST:/pay:1:100 -n 8 -t 16 --strict");
 
   fleet_control_platform (
       fleet, "vms=%5B%7B%22name%22:%22vm-2%22,%22state%22:%22leaving%22%7D%5D");
   fleet_await (fleet, 2, "$.own_targets[0].leaving", 1);
   while (fleet_status (fleet, 2, "$.own_targets[0].in_use") > 0)
     g_usleep (5000);
-  expect_no_new_work (fleet, 2);
-  assert_int_equal (fleet_join (fleet, load), 0);
+  expect_no_new_runs (fleet, 2);
+  assert_int_equal (fleet_wait_load (fleet, load), 0);
   fleet_destroy (fleet);
 }
 
@@ -223,11 +223,13 @@
   body = fleet_plan (fleet, 0, intent, FALSE);
   fleet_control_platform (fleet, "lose=4");
   {
-    g_autoptr (Answer) answer = fleet_operate (fleet, 0, "POST", "/v1/confirm", body);
+    g_autoptr (Answer) answer =
+        fleet_call_operators (fleet, 0, "POST", "/v1/confirm", body);
 
     if (answer->status == 503)
       {
-        g_autoptr (Answer) second = fleet_operate (fleet, 0, "POST", "/v1/confirm", body);
+        g_autoptr (Answer) second =
+            fleet_call_operators (fleet, 0, "POST", "/v1/confirm", body);
 
         assert_int_equal (second->status, 200);
       }
@@ -236,7 +238,7 @@
   }
   await_generation (fleet, 3, 1);
   /* A second confirmation, through another node, changes nothing. */
-  again = fleet_operate (fleet, 2, "POST", "/v1/confirm", body);
+  again = fleet_call_operators (fleet, 2, "POST", "/v1/confirm", body);
   assert_int_equal (again->status, 200);
   assert_int_equal (fleet_status (fleet, 2, GENERATION), 1);
   fleet_destroy (fleet);
@@ -254,8 +256,8 @@
 race (gpointer data)
 {
   Racer *racer = data;
-  g_autoptr (Answer) answer =
-      fleet_operate (racer->fleet, racer->node, "POST", "/v1/confirm", racer->body);
+  g_autoptr (Answer) answer = fleet_call_operators (racer->fleet, racer->node, "POST",
+                                                    "/v1/confirm", racer->body);
 
   racer->status = answer->status;
   return NULL;
@@ -323,11 +325,12 @@
   }
   /* Meanwhile a change is refused, because it cannot be stored. */
   body = fleet_plan (fleet, 0, "{\"restore\":[\"pay-1\"]}", FALSE);
-  refused = fleet_operate (fleet, 0, "POST", "/v1/confirm", body);
+  refused = fleet_call_operators (fleet, 0, "POST", "/v1/confirm", body);
   assert_int_equal (refused->status, 503);
   fleet_control_platform (fleet, "down=0");
   {
-    g_autoptr (Answer) answer = fleet_operate (fleet, 0, "POST", "/v1/confirm", body);
+    g_autoptr (Answer) answer =
+        fleet_call_operators (fleet, 0, "POST", "/v1/confirm", body);
 
     assert_int_equal (answer->status, 200);
   }
@@ -338,7 +341,7 @@
 /* Makes a call to the nodes' listener as the first on its connection, without SW_HELLO
    before it. Returns the kind of the reply. */
 static WireReply
-call_as_stranger (
+call_unauthenticated (
     guint32 procedure, xdrproc_t args_proc, void *args, xdrproc_t proc, void *result)
 {
   g_autofree char *address = fleet_address ("nodes", 0);
@@ -363,7 +366,7 @@
 }
 
 static void
-test_strangers_are_refused_at_every_listener (void **state)
+test_unauthenticated_calls_are_refused (void **state)
 {
   Fleet *fleet = start_fleet (1, 0, 3);
   sw_head_res head = { 0 };
@@ -384,13 +387,14 @@
   submit.repeatable = TRUE;
   submit.remaining_ms = 1000;
   assert_int_equal (
-      call_as_stranger (SW_HEAD, wire_void, NULL, (xdrproc_t)xdr_sw_head_res, &head),
+      call_unauthenticated (SW_HEAD, wire_void, NULL, (xdrproc_t)xdr_sw_head_res, &head),
       WIRE_REPLY_DENIED);
-  assert_int_equal (call_as_stranger (SW_HELLO, (xdrproc_t)xdr_sw_hello_args, &args,
-                                      (xdrproc_t)xdr_sw_hello_res, &hello),
+  assert_int_equal (call_unauthenticated (SW_HELLO, (xdrproc_t)xdr_sw_hello_args, &args,
+                                          (xdrproc_t)xdr_sw_hello_res, &hello),
                     WIRE_REPLY_DENIED);
-  assert_int_equal (call_as_stranger (SW_SUBMIT, (xdrproc_t)xdr_sw_submit_args, &submit,
-                                      (xdrproc_t)xdr_sw_submit_res, &submitted),
+  assert_int_equal (call_unauthenticated (SW_SUBMIT, (xdrproc_t)xdr_sw_submit_args,
+                                          &submit, (xdrproc_t)xdr_sw_submit_res,
+                                          &submitted),
                     WIRE_REPLY_DENIED);
   assert_int_equal (total_runs (fleet, 0), 0);
   denied = fleet_call (fleet, 0, "GET", "/v1/status", "x", NULL);
@@ -424,21 +428,23 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_teardown (test_all_targets_gray_keeps_the_floor_and_they_come_back,
+    cmocka_unit_test_teardown (test_failing_targets_keep_the_floor_and_recover,
                                fleet_teardown),
-    cmocka_unit_test_teardown (test_planned_stop_cuts_nothing, fleet_teardown),
-    cmocka_unit_test_teardown (test_hurried_stop_says_what_it_cut, fleet_teardown),
-    cmocka_unit_test_teardown (test_what_a_stop_cuts_is_over, fleet_teardown),
-    cmocka_unit_test_teardown (test_a_second_term_cuts_nothing, fleet_teardown),
+    cmocka_unit_test_teardown (test_planned_stop_aborts_nothing, fleet_teardown),
+    cmocka_unit_test_teardown (test_interrupted_stop_answers_aborted_requests,
+                               fleet_teardown),
+    cmocka_unit_test_teardown (test_late_target_answers_do_not_disturb_a_stop,
+                               fleet_teardown),
+    cmocka_unit_test_teardown (test_a_second_sigterm_aborts_nothing, fleet_teardown),
     cmocka_unit_test_teardown (test_drained_target_gets_no_new_work, fleet_teardown),
-    cmocka_unit_test_teardown (test_departure_by_the_lagging_list, fleet_teardown),
+    cmocka_unit_test_teardown (test_a_target_leaves_by_the_platforms_list,
+                               fleet_teardown),
     cmocka_unit_test_teardown (test_plan_below_a_floor_is_refused_unless_forced,
                                fleet_teardown),
     cmocka_unit_test_teardown (test_lost_answers_of_writes_that_took_effect,
                                fleet_teardown),
     cmocka_unit_test_teardown (test_two_operators_race_and_one_wins, fleet_teardown),
-    cmocka_unit_test_teardown (test_strangers_are_refused_at_every_listener,
-                               fleet_teardown),
+    cmocka_unit_test_teardown (test_unauthenticated_calls_are_refused, fleet_teardown),
     cmocka_unit_test (test_bad_settings_end_the_daemon_with_a_list),
     cmocka_unit_test_teardown (test_outage_restart_and_frozen_node_never_revert,
                                fleet_teardown),
--- a/tests/proc/test-paths.c
+++ b/tests/proc/test-paths.c
@@ -17,13 +17,13 @@
 /* Long enough that a node counts as quiet: 50 ms without a message (attempt-send.c). */
 #define QUIET_US 200000
 /* The bound only keeps a broken test from hanging; the wait is not measured. */
-#define SILENT_TRIES 1000u
-#define SILENT_PAUSE_US 20000
+#define RECONNECT_TRIES 1000u
+#define RECONNECT_PAUSE_US 20000
 
 /* A node that has just stopped receives no request that may not be repeated, because it
    is pinged before the request is sent. */
 static void
-test_nothing_unrepeatable_is_sent_to_a_node_that_has_gone (void **state)
+test_unrepeatable_requests_are_not_sent_to_a_stopped_node (void **state)
 {
   /* The first and the last node are in one data hall. */
   Fleet *fleet = requests_start (4, 2);
@@ -53,7 +53,7 @@
 }
 
 static guint
-runs_of (Fleet *fleet, guint target)
+run_list_size (Fleet *fleet, guint target)
 {
   g_autofree char *ids = fleet_ids (fleet, target);
 
@@ -63,7 +63,7 @@
 /* All connections to a node go silent without being closed, while new ones would work.
    The first request is sent `pause_us` later. */
 static void
-expect_replaced (gulong pause_us)
+expect_silent_connection_replaced (gulong pause_us)
 {
   Fleet *fleet = fleet_create (4);
   g_autofree char *intent = fleet_intent (fleet, SLOTS, 0, NULL);
@@ -82,44 +82,44 @@
     }
   fleet_control_relay (fleet, 3, "hush=1");
   g_usleep (pause_us);
-  before = runs_of (fleet, 3);
+  before = run_list_size (fleet, 3);
   assert_true (before > 0);
-  for (guint i = 0; i < SILENT_TRIES && runs_of (fleet, 3) == before; i++)
+  for (guint i = 0; i < RECONNECT_TRIES && run_list_size (fleet, 3) == before; i++)
     {
       g_autofree char *id = g_strdup_printf ("after-%u", i);
       g_autoptr (Answer) answer = fleet_call (fleet, 0, "POST", "/pay", id, "fee=12");
 
       assert_string_not_equal (answer->outcome, "unknown");
-      g_usleep (SILENT_PAUSE_US);
+      g_usleep (RECONNECT_PAUSE_US);
     }
-  assert_true (runs_of (fleet, 3) > before);
+  assert_true (run_list_size (fleet, 3) > before);
   fleet_destroy (fleet);
 }
 
 static void
 test_a_connection_that_goes_silent_is_replaced (void **state)
 {
-  expect_replaced (0);
+  expect_silent_connection_replaced (0);
 }
 
 /* A quiet node is pinged before a request is sent, so the ping is lost and not the
    request. */
 static void
-test_a_silent_connection_that_only_questions_meet_is_replaced (void **state)
+test_a_connection_that_loses_pings_is_replaced (void **state)
 {
-  expect_replaced (QUIET_US);
+  expect_silent_connection_replaced (QUIET_US);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_teardown (test_nothing_unrepeatable_is_sent_to_a_node_that_has_gone,
+    cmocka_unit_test_teardown (test_unrepeatable_requests_are_not_sent_to_a_stopped_node,
                                fleet_teardown),
     cmocka_unit_test_teardown (test_a_connection_that_goes_silent_is_replaced,
                                fleet_teardown),
-    cmocka_unit_test_teardown (
-        test_a_silent_connection_that_only_questions_meet_is_replaced, fleet_teardown),
+    cmocka_unit_test_teardown (test_a_connection_that_loses_pings_is_replaced,
+                               fleet_teardown),
   };
 
   signal (SIGPIPE, SIG_IGN);
--- a/tests/proc/test-requests.c
+++ b/tests/proc/test-requests.c
@@ -18,7 +18,7 @@
 #define CHAOS_ROUNDS 12
 
 static void
-test_bad_answers_are_never_passed_on (void **state)
+test_bad_answers_are_never_forwarded (void **state)
 {
   Fleet *fleet = requests_start (1, 2);
 
@@ -60,7 +60,7 @@
 }
 
 static void
-test_no_target_is_not_run_with_a_time_to_come_back (void **state)
+test_without_a_target_requests_are_not_run (void **state)
 {
   Fleet *fleet = requests_start (1, 2);
   g_autoptr (Answer) answer = NULL;
@@ -82,10 +82,10 @@
   g_autofree char *words =
       g_strdup_printf ("-c pay:POST:/pay:1:50 -n 8 -t 1.5 --ids %s", list);
 
-  load = fleet_load (fleet, 15, words);
+  load = fleet_start_load (fleet, 15, words);
   g_usleep (700000);
   fleet_signal_node (fleet, 1, SIGKILL);
-  assert_int_equal (fleet_join (fleet, load), 0);
+  assert_int_equal (fleet_wait_load (fleet, load), 0);
   fleet_destroy (fleet);
 }
 
@@ -112,7 +112,7 @@
 
 /* Compares the outcomes that callers were told with what the targets ran. */
 static void
-compare_ids (Fleet *fleet, guint targets, const char *list)
+check_outcomes_against_runs (Fleet *fleet, guint targets, const char *list)
 {
   g_autoptr (GHashTable) runs =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -169,7 +169,7 @@
   assert_int_equal (fleet_apply (fleet, 0, intent, FALSE), 200);
   for (guint i = 0; i < 4; i++)
     fleet_await (fleet, i, "$.generation", 1);
-  load = fleet_load (fleet, 15, words);
+  load = fleet_start_load (fleet, 15, words);
   for (guint round = 0; round < CHAOS_ROUNDS; round++)
     {
       guint node = (guint)g_rand_int_range (rand, 0, 4);
@@ -198,12 +198,12 @@
           break;
         }
     }
-  assert_int_equal (fleet_join (fleet, load), 0);
+  assert_int_equal (fleet_wait_load (fleet, load), 0);
   /* Requests may still be running when the load ends; the pause lets them end. */
   for (guint i = 0; i < 4; i++)
     fleet_await (fleet, i, "$.ready", 1);
   g_usleep (500000);
-  compare_ids (fleet, 4, list);
+  check_outcomes_against_runs (fleet, 4, list);
   fleet_destroy (fleet);
 }
 
@@ -211,13 +211,13 @@
 test_two_thousand_overlapping_requests_get_their_own (void **state)
 {
   Fleet *fleet = requests_start (3, 5);
-  GPid load = fleet_load (fleet, 7,
-                          "-c pay:POST:/pay:1:3000 -c read:GET:/read:1:0 "
-                          "-c big:POST:/pay/big:1:100000 -n 200 -t 4");
+  GPid load = fleet_start_load (fleet, 7,
+                                "-c pay:POST:/pay:1:3000 -c read:GET:/read:1:0 "
+                                "-c big:POST:/pay/big:1:100000 -n 200 -t 4");
 
   /* The load generator exits with 1 when an answer is incomplete or belongs to another
      request. */
-  assert_int_equal (fleet_join (fleet, load), 0);
+  assert_int_equal (fleet_wait_load (fleet, load), 0);
   fleet_destroy (fleet);
 }
 
@@ -225,9 +225,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_teardown (test_bad_answers_are_never_passed_on, fleet_teardown),
+    cmocka_unit_test_teardown (test_bad_answers_are_never_forwarded, fleet_teardown),
     cmocka_unit_test_teardown (test_hangup_before_the_answer_runs_once, fleet_teardown),
-    cmocka_unit_test_teardown (test_no_target_is_not_run_with_a_time_to_come_back,
+    cmocka_unit_test_teardown (test_without_a_target_requests_are_not_run,
                                fleet_teardown),
     cmocka_unit_test_teardown (test_sidecar_killed_with_work_in_flight, fleet_teardown),
     cmocka_unit_test_teardown (test_kills_freezes_and_broken_links_under_load,
--- a/tests/proc/test-tickets.c
+++ b/tests/proc/test-tickets.c
@@ -39,7 +39,7 @@
 }
 
 static guint
-ran_at (Fleet *fleet, const char *id)
+find_target_that_ran (Fleet *fleet, const char *id)
 {
   for (guint i = 0; i < 3; i++)
     if (fleet_runs (fleet, i, id))
@@ -49,7 +49,7 @@
 }
 
 static void
-test_ticket_asked_twice_runs_once (void **state)
+test_a_request_with_a_ticket_runs_once (void **state)
 {
   Fleet *fleet = requests_start (3, 300);
   g_autoptr (Answer) fresh = fleet_call_ticket (fleet, 0, "/pay", "none", "new", "");
@@ -78,7 +78,7 @@
   assert_int_equal (runs_everywhere (fleet, "id-twin"), 1);
   /* The ticket never runs again, not even after the sidecar's restart has cleared its
      memory. */
-  home = ran_at (fleet, "id-twin");
+  home = find_target_that_ran (fleet, "id-twin");
   fleet_signal_node (fleet, home, SIGKILL);
   fleet_start_node (fleet, home);
   fleet_await (fleet, home, "$.ready", 1);
@@ -99,7 +99,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_teardown (test_ticket_asked_twice_runs_once, fleet_teardown),
+    cmocka_unit_test_teardown (test_a_request_with_a_ticket_runs_once, fleet_teardown),
   };
 
   signal (SIGPIPE, SIG_IGN);
