--- a/core/include/core/admission.h
+++ b/core/include/core/admission.h
@@ -34,7 +34,7 @@
    borrowed. */
 void admission_set_warmup (Admission *admission, Warmup *warmup);
 
-/* Whether a request offered now would start immediately. */
+/* Returns whether a request offered now would start immediately. */
 gboolean admission_is_free (const Admission *admission);
 
 /* Priority and time limits of a request; times are on the sidecar's clock. */
--- a/core/include/core/allowance.h
+++ b/core/include/core/allowance.h
@@ -49,7 +49,7 @@
   double burst; /* requests at once beyond that rate */
 } AllowanceTerms;
 
-/* A token bucket's start_round rate and capacity, in requests. */
+/* A token bucket's refill rate, in requests a second, and its capacity in requests. */
 typedef struct
 {
   double per_s;
@@ -126,7 +126,8 @@
    the number that is expected to be used before the leases expire. */
 guint allowance_cache_prefetch_count (const AllowanceCache *cache, const char *account);
 
-/* Adds `count` requests leased by the answer to a question sent at `asked_us`. */
+/* Adds `count` requests leased by the answer to a question sent at `asked_us`. They
+   expire ALLOWANCE_HOLD_US after `asked_us`. */
 void allowance_cache_add (AllowanceCache *cache,
                           const char *account,
                           guint count,
@@ -139,7 +140,8 @@
                                    gint64 for_us);
 
 /* Returns the index of the first of `lenders` that may be asked now. Otherwise returns -1
-   and sets `wait_us` to the time until one may be asked. */
+   and sets `wait_us` to the time until one may be asked, or to ALLOWANCE_HOLD_US if
+   `count` is 0. */
 gint allowance_cache_pick_lender (const AllowanceCache *cache,
                                   const char *account,
                                   const char *const *lenders,
--- a/core/include/core/balancer.h
+++ b/core/include/core/balancer.h
@@ -124,7 +124,8 @@
 /* Records whether a node's sidecar answered a call, for its path's circuit breaker. */
 void balancer_note_path (Balancer *balancer, const char *vm, gboolean answered);
 
-/* Chooses a target for one attempt. Only repeatable requests may be used for trials. */
+/* Chooses a target for one attempt. Only repeatable requests may be used for trials, and
+   a trial is chosen only if `criteria->tried` is NULL. */
 BalancerChoice balancer_choose (Balancer *balancer,
                                 const Service *service,
                                 const BalancerCriteria *criteria);
--- a/core/include/core/config.h
+++ b/core/include/core/config.h
@@ -2,8 +2,8 @@
  * The configuration: immutable parts, and snapshots made of them.
  *
  * A part is the JSON text of one service, or of one shard of the routes, accounts or
- * access keys. It is named by a key ("service/taliad", "routes/2a", "accounts/07",
- * "keys/3f") and identified by the SHA-256 of its text. Parts contain only digests of
+ * access keys. Its name is a key ("service/taliad", "routes/2a", "accounts/07",
+ * "keys/3f"), and the SHA-256 of its text is its digest. Parts contain only digests of
  * access keys, never the keys. A head lists the digests of all parts of one generation.
  * Parts and snapshots are reference-counted, and generations share unchanged parts.
  */
@@ -15,9 +15,9 @@
 
 /* Number of shards of the routes. */
 #define CONFIG_ROUTE_SHARDS 64u
-/* Number of shards of the accounts, and of the access keys. There are more of them than
-   of routes; with 256 shards a change of one at full size costs no more than one of a
-   route. */
+/* Number of shards of the accounts, and of the access keys. There are more accounts and
+   keys than routes; with 256 shards the change of one at full size costs no more than the
+   change of a route. */
 #define CONFIG_ACCOUNT_SHARDS 256u
 /* Number of priorities of routes; 0 is the highest. */
 #define CONFIG_PRIORITIES 4u
@@ -64,7 +64,7 @@
   char *name;
   char *tenant;
   guint floor_slots;   /* ejections leave at least this many slots in service */
-  guint floor_percent; /* and at least this percentage of all targets' slots */
+  guint floor_percent; /* and at least this percentage of the serving targets' slots */
   Detection detection;
   guint queue; /* maximum number of requests that wait at one target */
   guint retry_percent;
@@ -195,8 +195,9 @@
 ConfigPart *snapshot_part_by_digest (const Snapshot *snapshot, const char *digest);
 guint snapshot_route_count (const Snapshot *snapshot);
 guint snapshot_account_count (const Snapshot *snapshot);
-/* Whether any account was ever configured: a plan that removes the last account of a
-   shard keeps the empty shard. The time does not depend on the number of accounts. */
+/* Returns whether any account was ever configured, because a plan that removes the last
+   account of a shard keeps the empty shard. The time does not depend on the number of
+   accounts. */
 gboolean snapshot_has_accounts (const Snapshot *snapshot);
 
 /* Returns the route for `method` with the longest prefix of `path` among those for
--- a/core/include/core/detector.h
+++ b/core/include/core/detector.h
@@ -39,23 +39,23 @@
 void detector_destroy (Detector *detector);
 
 /*
- * Adds one sample. While the target is sick, a failure of a request that was sent before
- * it became sick is ignored, because it says nothing about the target's present state;
- * FALSE is returned for it.
+ * Adds one sample. While the target is sick, the function ignores a failure of a request
+ * that was sent before the target became sick or before its last failed trial, because
+ * that says nothing about the target's present state. It returns FALSE for such a sample.
  */
 gboolean detector_observe (Detector *detector, const DetectorSample *sample);
 
 /*
  * Returns 0 while the target is considered healthy, else how sick it is, up to
- * DETECTOR_SEVERITY_MAX. A sick target that gets no work for long enough becomes healthy
- * again.
+ * DETECTOR_SEVERITY_MAX. A sick target becomes healthy again by good trials, or when it
+ * has had no failed trial for long enough, as while it gets no work.
  */
 guint detector_severity (Detector *detector);
 
 #define DETECTOR_SEVERITY_MAX 1000u
 
-/* Returns the mean latency and the failures in parts per million over the latest samples,
-   and the total number of samples. */
+/* Returns, for the latest samples, the mean latency of the successful ones and the
+   failures in parts per million, and the number of all samples so far. */
 void detector_summary (const Detector *detector,
                        guint *latency_us,
                        guint *failures_ppm,
--- a/core/include/core/dispatch.h
+++ b/core/include/core/dispatch.h
@@ -23,7 +23,7 @@
   gboolean pinned;    /* the request has a ticket: one attempt at one target */
   gint64 deadline_us; /* on the ingress's clock */
   gint64 slack_us;    /* longest delay of the answer after the deadline */
-  guint attempts_max; /* attempts that a target may have seen */
+  guint attempts_max; /* maximum number of attempts that may reach a target */
 } DispatchPolicy;
 
 /* The next action of the owner. */
@@ -99,7 +99,7 @@
 void dispatch_hedge_sent (Dispatch *dispatch);
 void dispatch_hedge_over (Dispatch *dispatch, DispatchReport report, Reason reason);
 
-/* Whether the next target to see the request is the last one allowed. */
+/* Returns whether the next target to see the request is the last one allowed. */
 gboolean dispatch_is_last_arrival (const Dispatch *dispatch);
 
 /* How the next attempt counts in the service's retry budget, which the sidecars keep. */
--- a/core/include/core/fingerprint.h
+++ b/core/include/core/fingerprint.h
@@ -1,5 +1,5 @@
 /*
- * Fingerprints recognize a request that is sent again, under another id or at another
+ * Fingerprints recognise a request that is sent again, under another id or at another
  * node. Two requests are the same if service, client account, method, host, path and body
  * are equal. The digest is keyed with the fleet's secret, so that an outsider cannot
  * construct two requests with equal fingerprints.
--- a/core/include/core/json-view.h
+++ b/core/include/core/json-view.h
@@ -39,7 +39,7 @@
 /* Returns the view's JSON path, for faults that the caller finds. */
 const char *json_view_path (const JsonView *view);
 JsonFaults *json_view_faults (const JsonView *view);
-/* Whether the member exists and is not null; counts as reading it. */
+/* Returns whether the member exists and is not null; counts as reading it. */
 gboolean json_view_has (JsonView *view, const char *key);
 
 /* The getters return `fallback` when the member is missing or null. When it has another
--- a/core/include/core/members.h
+++ b/core/include/core/members.h
@@ -1,10 +1,10 @@
 /*
  * Gossip membership of the fleet, without I/O: the nodes with their addresses and
- * incarnations, after the SWIM protocol. Every period a node probes one member in random
- * order, mostly of its own data hall, and asks other members to probe it when it does not
- * answer. Updates are piggybacked on probes and answers, and views are compared by
- * digests to repair lost updates. Neither wall-clock time nor another node's clock is
- * used.
+ * incarnations, after the SWIM protocol. Every period, 1 s by default, a node probes one
+ * member in random order, mostly of its own data hall, and asks other members to probe it
+ * when it does not answer. Updates are piggybacked on probes and answers, and views are
+ * compared by digests to repair lost updates. Neither wall-clock time nor another node's
+ * clock is used.
  */
 #ifndef CORE_MEMBERS_H
 #define CORE_MEMBERS_H
@@ -84,7 +84,7 @@
 {
   MembersActionKind kind;
   char *address;
-  char *subject;  /* a node's name; NULL when a seed without a name is probed */
+  char *subject; /* a node's name; NULL if `address` is a seed or that of a dead member */
   guint sequence; /* passed to members_answered with the answer */
 } MembersAction;
 
@@ -126,8 +126,8 @@
    or when it made self raise its own epoch. */
 gboolean members_merge (Members *members, const Member *rumour);
 
-/* The same for a delta. One about an unknown member or about another payload than the
-   held one is ignored; a comparison of views repairs the difference. */
+/* The same for a delta. A delta about an unknown member, or about another payload than
+   the held one, is ignored; a comparison of views repairs the difference. */
 gboolean members_merge_delta (Members *members, const MemberDelta *delta);
 
 /* The delta's state is borrowed from `member`. */
@@ -164,13 +164,13 @@
 GPtrArray *members_all (Members *members);
 /* Counts the members that are alive or suspect, including self. */
 guint members_count_alive (const Members *members);
-/* Whether the member is alive or suspect. */
+/* Returns whether the member is alive or suspect. */
 gboolean members_is_alive (const Member *member);
 
 /* A hash of the name, which identifies the member in a MemberDelta and orders members. */
 guint32 members_id (const char *node);
 
-/* Whether self started less than 8 s ago and may know only part of the fleet. */
+/* Returns whether self started less than 8 s ago and may know only part of the fleet. */
 gboolean members_is_starting_up (const Members *members);
 
 /* Counts the live members of the own hall that precede self in the order of members_id.
--- a/core/include/core/names.h
+++ b/core/include/core/names.h
@@ -14,7 +14,7 @@
 
 gboolean names_valid (const char *text);
 
-/* Whether `text` is an IPv4 address and a port, "127.0.0.1:80". */
+/* Returns whether `text` is an IPv4 address and a port, "127.0.0.1:80". */
 gboolean names_address_valid (const char *text);
 
 /* Reads a required address; faults are handled as in names_required. */
--- a/core/include/core/plan.h
+++ b/core/include/core/plan.h
@@ -10,7 +10,7 @@
 typedef struct Plan Plan;
 
 /* Returns whether a target is healthy now. Called with names from the running
-   configuration and from the plan; must return TRUE for unknown targets. */
+   configuration and from the plan. It must return TRUE for unknown targets. */
 typedef gboolean (*PlanHealthyFunc) (const char *service,
                                      const char *target,
                                      gpointer data);
@@ -30,9 +30,9 @@
 
 const char *plan_id (const Plan *plan);
 guint64 plan_base_generation (const Plan *plan);
-/* Whether the plan lists no changes. */
+/* Returns whether the plan lists no changes. */
 gboolean plan_is_empty (const Plan *plan);
-/* Whether it takes the healthy slots of a service below its floor. */
+/* Returns whether the plan takes the healthy slots of a service below its floor. */
 gboolean plan_is_refused (const Plan *plan);
 /* The changed parts (ConfigPart), to be written, and the head that lists all parts. */
 const GPtrArray *plan_parts (const Plan *plan);
--- a/core/include/core/quarantine.h
+++ b/core/include/core/quarantine.h
@@ -53,8 +53,8 @@
 /* Fingerprints that one end counts against; a request with a query has two. With more
    requests at work, an end says little about each of them. */
 #define QUARANTINE_WORK_MAX 24u
-/* A request without a further end is forgotten after this time, which is long enough to
-   recognize a request that arrives every few minutes. */
+/* A request that is not quarantined is forgotten this long after its last end. The time
+   is long enough to recognise a request that arrives every few minutes. */
 #define QUARANTINE_MEMORY_US (600 * SECOND_US)
 /* A cleared entry is kept for this time, because reports from before it was cleared may
    arrive this late. */
@@ -65,7 +65,7 @@
 #define QUARANTINE_PAUSE_FIRST_US (60 * SECOND_US)
 #define QUARANTINE_PAUSE_SECOND_US (600 * SECOND_US)
 #define QUARANTINE_PAUSE_MAX_US (3600 * SECOND_US)
-/* A trial that led to neither an answer nor an end is repeated after this pause. */
+/* Pause before a trial that led to neither an answer nor an end is repeated. */
 #define QUARANTINE_PAUSE_UNDECIDED_US SECOND_US
 
 /* One end of a target, as recorded for a request. */
@@ -97,9 +97,9 @@
 typedef enum
 {
   QUARANTINE_FREE,
-  QUARANTINE_SUSPECT, /* at least one end counts against the request, but it may run */
-  QUARANTINE_DOUBTED, /* two or more ends count against it; it may run, but once per
-                         caller */
+  QUARANTINE_SUSPECT, /* the request was running at one end or more, but it may run */
+  QUARANTINE_DOUBTED, /* ends at two or more moments count against it; it may run, but
+                         once per caller */
   QUARANTINE_TRIAL,   /* quarantined, but a trial is due: one request may run */
   QUARANTINE_HELD
 } QuarantineState;
@@ -147,7 +147,8 @@
 /* Starts the trial that is due. Returns FALSE if none is due, for example because another
    node has started it. */
 gboolean quarantine_begin_trial (Quarantine *quarantine, const Fingerprint *request);
-/* Records that a trial led to neither an answer nor an end; it is repeated once. */
+/* Records that a trial led to neither an answer nor an end. Only the first trial of a
+   quarantine is repeated, at most once. */
 void quarantine_trial_undecided (Quarantine *quarantine, const Fingerprint *request);
 
 /* Records that a target runs another version of the service's software. Quarantined
--- a/core/include/core/retry.h
+++ b/core/include/core/retry.h
@@ -42,7 +42,7 @@
 /* Records a first attempt. */
 void retry_budget_deposit (RetryBudget *budget);
 
-/* Whether the budget allows a retry now. */
+/* Returns whether the budget allows a retry now. */
 gboolean retry_budget_has (const RetryBudget *budget);
 
 /* Takes one retry; returns FALSE, with no effect, if none is left. */
--- a/core/include/core/warmup.h
+++ b/core/include/core/warmup.h
@@ -30,10 +30,10 @@
 void warmup_note_report (Warmup *warmup, gint64 cold_us);
 /* Assumes the target to be cold until the next warmup_note_report. */
 void warmup_assume_cold (Warmup *warmup);
-/* Whether starts are limited now. */
+/* Returns whether starts are limited now. */
 gboolean warmup_is_limiting (const Warmup *warmup);
 
-/* Whether one more may start now. */
+/* Returns whether one more may start now. */
 gboolean warmup_allows (const Warmup *warmup);
 /* Records a start. Starts at a warm target count too, because it may become cold while
    they run. */
