--- a/core/src/config/intent-accounts.c
+++ b/core/src/config/intent-accounts.c
@@ -4,7 +4,8 @@
 
 #include <core/names.h>
 
-/* After this many scans for a single account's keys, all keys are indexed by account. */
+/* Maximum number of look-ups that scan for the keys of one account; the next one indexes
+   the keys of all accounts. */
 #define KEY_SCANS_MAX 64u
 
 static gboolean
--- a/core/src/config/intent-private.h
+++ b/core/src/config/intent-private.h
@@ -19,7 +19,7 @@
   GHashTable *keys;          /* shard key → GPtrArray of AccessKey */
   GHashTable *holdings;      /* account id → GArray of its key digests in the base */
   gboolean all_keys_indexed; /* `holdings` covers all accounts of the base */
-  guint key_scans;           /* scans of the base for the keys of one account */
+  guint key_scans;           /* look-ups of one account's keys before that */
 } Intent;
 
 /*
--- a/core/src/config/settings.c
+++ b/core/src/config/settings.c
@@ -21,7 +21,8 @@
 /* Running requests may be cut in the last sixth of the grace period, but not earlier. */
 #define STOP_CUT_DIVISOR 6
 #define GRACE_MAX_S 3600.0
-/* Window over which retries are counted, as users define it, and the longest allowed. */
+/* Default window over which retries are counted, as the requirements set it, and the
+   longest allowed. */
 #define RETRY_WINDOW_DEFAULT_S 10.0
 #define RETRY_WINDOW_MAX_S 3600.0
 /* The upper limits of cold_overage, a factor of the cold rate, and of retries per request
@@ -29,8 +30,8 @@
 #define COLD_OVERAGE_MAX 100
 #define RETRY_RATIO_MAX 100.0
 
-/* Window over which an account's requests are counted, as users define it, and the
-   allowed range. */
+/* Default window over which an account's requests are counted, as the requirements set
+   it, and the allowed range. */
 #define ALLOWANCE_WINDOW_DEFAULT_S 5.0
 #define ALLOWANCE_WINDOW_MIN_S 0.1
 #define ALLOWANCE_WINDOW_MAX_S 3600.0
--- a/core/src/config/shard.c
+++ b/core/src/config/shard.c
@@ -15,7 +15,7 @@
 static void
 write_route (gconstpointer thing, GString *text)
 {
-  /* The json_put_* functions add commas between the members of an object only. */
+  /* route_write appends an object without a comma before it. */
   if (text->str[text->len - 1] != '[')
     g_string_append_c (text, ',');
   route_write (thing, text);
