--- a/core/src/base/histogram.c
+++ b/core/src/base/histogram.c
@@ -16,7 +16,7 @@
 };
 
 /* Each value below SUB_BUCKETS has its own bucket; above, each power of two has
- * SUB_BUCKETS buckets. */
+   SUB_BUCKETS buckets. */
 static guint
 bucket_of (gint64 span_us)
 {
