--- a/core/src/health/detector-ewma.c
+++ b/core/src/health/detector-ewma.c
@@ -1,6 +1,7 @@
 /*
  * Exponentially weighted means and consecutive failures, the usual outlier detection. The
- * evidence is scaled such that both rules share a bound.
+ * evidence is scaled such that the mean failure rate and the consecutive failures share
+ * one bound.
  */
 #include "detector-kind.h"
 
--- a/core/src/health/detector.c
+++ b/core/src/health/detector.c
@@ -30,10 +30,9 @@
 typedef struct
 {
   gboolean eject_on_break; /* one broken exchange is sufficient evidence */
-  gint64 hold_us; /* initial ejection time; good trials end it after half of it at the
-                     earliest */
-  guint
-      idle_holds; /* after this many ejection times without work it gets another chance */
+  gint64 hold_us;   /* initial ejection time; good trials end it after half of it at the
+                       earliest */
+  guint idle_holds; /* healthy after this many ejection times without a failed trial */
   guint doublings_max; /* maximum doublings of `hold_us` on relapses */
   guint trials;        /* consecutive good trials that it takes to recover */
   guint first_trials;  /* likewise while no trial has failed */
