--- a/core/src/member/members-news.c
+++ b/core/src/member/members-news.c
@@ -2,11 +2,11 @@
 
 #include <string.h>
 
-/* Differing buckets sent per comparison, not counting those that are empty at the
-   requester. Views differ permanently while targets' health changes: a full view of 1,200
-   members, about 150 KB, every ten seconds would be five times the budget of control
-   traffic. An eighth of it, at most 2 KB/s, repairs lost updates within one or two
-   minutes. */
+/* Maximum number of differing buckets sent per comparison, without those that are empty
+   at the requester. Views differ permanently while targets' health changes: a full view
+   of 1,200 members, about 150 KB, every ten seconds would be five times the budget of
+   control traffic. An eighth of it, at most 2 KB/s, repairs lost updates within one or
+   two minutes. */
 #define DIFFERING_BUCKETS_MAX 8u
 
 gsize
--- a/core/src/member/members-private.h
+++ b/core/src/member/members-private.h
@@ -55,8 +55,8 @@
 /* Changes a member's status in this view, schedules the update and reports the change. */
 void members_set_status (Members *members, MemberRecord *record, MemberStatus status);
 
-/* The decimal logarithm of the number of live members plus one, which the sends of an
-   update and the suspicion time scale with. */
+/* Returns log10 (live members + 1). The number of sends of an update and the suspicion
+   timeout scale with it. */
 double members_fleet_log (const Members *members);
 
 #endif
--- a/core/src/member/members.c
+++ b/core/src/member/members.c
@@ -3,7 +3,8 @@
 #include <math.h>
 #include <string.h>
 
-/* Sends of an update by one node, times 3 log10 (members + 1) + 1. */
+/* A node sends an update DISSEMINATION_FACTOR * (3 log10 (live members + 1) + 1) times,
+   rounded up. */
 #define DISSEMINATION_FACTOR 2
 /* At most this many sends are in full; the nodes that received one send it on, and view
    comparisons repair the rest. While 30 nodes join, full updates are nine tenths of the
@@ -123,7 +124,7 @@
   return TRUE;
 }
 
-/* Whether `rumour` is newer than the held entry of the same node. */
+/* Returns whether `rumour` is newer than the held entry of the same node. */
 static gboolean
 is_newer (const Member *rumour, const Member *held)
 {
@@ -142,7 +143,8 @@
   record->status_since_us = clock_now (members->clock);
 }
 
-/* Whether a receiver that has the held entry needs the full update instead of a delta. */
+/* Returns whether a receiver that has the held entry needs the full update instead of a
+   delta. */
 static gboolean
 needs_full_update (const Member *rumour, const Member *held)
 {
@@ -309,7 +311,7 @@
   return strcmp (member->hall, members->self->member.hall) == 0;
 }
 
-/* Whether both have the same bytes; NULL equals empty. */
+/* Returns whether both have the same bytes; NULL equals empty. */
 static gboolean
 is_same (GBytes *held, GBytes *fresh)
 {
