--- a/core/src/request/admission-queue.c
+++ b/core/src/request/admission-queue.c
@@ -50,14 +50,14 @@
   return item;
 }
 
-/* Whether the answer will miss its objective even if the request starts now. */
+/* Returns whether the answer will miss its objective even if the request starts now. */
 static gboolean
 is_late (const AdmissionOrder *order, gint64 now_us)
 {
   return order->on_time_by_us > 0 && order->on_time_by_us < now_us;
 }
 
-/* Whether a queued request starts before one that arrives now. */
+/* Returns whether a queued request starts before one that arrives now. */
 static gboolean
 goes_before (const AdmissionOrder *waiting, const AdmissionOrder *order, gint64 now_us)
 {
--- a/core/src/request/admission.c
+++ b/core/src/request/admission.c
@@ -1,12 +1,12 @@
 #include "admission-queue.h"
 
-/* A new latency enters the running means of the recent and of the normal latency with the
-   weight of one over these. */
+/* Divisors of the running means of the recent and of the normal latency: a new latency
+   enters a mean with the weight 1 / divisor. */
 #define RECENT_DIVISOR 8
 #define NORMAL_DIVISOR 256
 /* The limit falls while the recent latency is above this multiple of the normal one. */
 #define SLOW_FACTOR 2
-/* The limit stays at or above the number of slots divided by this. */
+/* The limit is at least the number of slots divided by this. */
 #define LIMIT_FLOOR_DIVISOR 4
 /* Number of answers between two changes of the limit. */
 #define LIMIT_STEP_ANSWERS 8
@@ -77,7 +77,7 @@
   admission->warmup = warmup;
 }
 
-/* Whether the warm-up allows one more start. */
+/* Returns whether the warm-up allows one more start. */
 static gboolean
 may_start (const Admission *admission)
 {
@@ -99,8 +99,8 @@
 }
 
 /* Returns the minimum service time; requests with less time left are not started. With
-   the latency spread of the users' targets, three in four requests take longer than 70 %
-   of the mean. */
+   the latency spread of the reference deployment, three in four requests take longer than
+   70 % of the mean. */
 static gint64
 min_service_us (const Admission *admission)
 {
@@ -152,7 +152,8 @@
   return TRUE;
 }
 
-/* Whether a request that waits for `wait_us` would miss its latest start or deadline. */
+/* Returns whether a request that waits for `wait_us` would miss its latest start or
+   deadline. */
 static gboolean
 would_be_late (const Admission *admission, const AdmissionOrder *order, gint64 wait_us)
 {
--- a/core/src/request/allowance-book.c
+++ b/core/src/request/allowance-book.c
@@ -9,7 +9,7 @@
 #define ASKS_PER_S 10.0
 #define RETRY_MIN_US (20 * MS_US)
 #define RETRY_MAX_US (2 * SECOND_US)
-/* After this time without use, a bucket of any capacity that occurs is full. */
+/* A bucket that has not been used for this time is assumed to be full again. */
 #define IDLE_US (60 * SECOND_US)
 
 typedef struct
--- a/core/src/request/balancer-choose.c
+++ b/core/src/request/balancer-choose.c
@@ -29,7 +29,7 @@
   return FALSE;
 }
 
-/* Whether a trial of a sick target is due; if so, schedules the next one. */
+/* Returns whether a trial of a sick target is due; if so, schedules the next one. */
 static gboolean
 trial_is_due (Balancer *balancer, const Target *target, TargetView *view)
 {
@@ -261,9 +261,9 @@
 }
 
 /*
- * Whether most sick targets of a service close connections at once without an answer. A
- * target that has kept a request open for a short time is then healthy, which does not
- * follow when sick targets hang.
+ * Returns whether most sick targets of a service close connections at once without an
+ * answer. A target that has kept a request open for a short time is then healthy, which
+ * does not follow when sick targets hang.
  */
 static gboolean
 mostly_abrupt (Balancer *balancer, const Service *service, const EjectItem *items)
--- a/core/src/request/balancer-private.h
+++ b/core/src/request/balancer-private.h
@@ -38,7 +38,8 @@
   guint ingresses;
 };
 
-/* Return the entry, which the balancer owns; an absent one is created. */
+/* Both return the entry of their key, which the balancer owns, and create it if there is
+   none. */
 TargetView *balancer_view (Balancer *balancer, const char *target);
 Path *balancer_path (Balancer *balancer, const char *vm);
 
@@ -46,8 +47,8 @@
    `hall`. */
 gint64 balancer_trial_every_us (const Balancer *balancer, const char *hall);
 
-/* Whether the view of a target comes from its sidecar's current incarnation; TRUE if the
-   membership has reported none. */
+/* Returns whether the view of a target comes from its sidecar's current incarnation; TRUE
+   if the membership has reported none. */
 gboolean balancer_is_current (const TargetView *view, const Path *path);
 
 /* Ejects sick targets of a service down to its floor (core/eject.h). `items` is filled
--- a/core/src/request/balancer.c
+++ b/core/src/request/balancer.c
@@ -203,7 +203,7 @@
 }
 
 /* Returns the number of slots that ejections must leave: the larger of the configured
-   number and the configured percentage of the service's slots. */
+   number and the configured percentage of the serving targets' slots. */
 static guint
 floor_of (const Service *service)
 {
--- a/core/src/request/dispatch.c
+++ b/core/src/request/dispatch.c
@@ -1,7 +1,7 @@
 #include <core/dispatch.h>
 
-/* Limit on attempts that no target saw; the service is then assumed to refuse, and the
-   caller is told when to retry. The tries of placement.h usually end earlier. */
+/* After this many attempts that no target saw, the whole service is assumed to refuse,
+   and the caller is told when to retry. The tries of placement.h usually end earlier. */
 #define REFUSALS_MAX 32u
 #define ASK_HOLD_MAX_US (2 * SECOND_US)
 /* Retry delay for the caller if neither a sidecar nor the balancer gave one. */
--- a/core/src/request/latency.c
+++ b/core/src/request/latency.c
@@ -18,8 +18,8 @@
 /* A second attempt is sent when the first is later than 98 in 100 answers on its route.
    With healthy targets, this costs one extra attempt in fifty requests. */
 #define LATE_PROBABILITY 0.02
-/* Minimum age at which a request is late, because a slow node notices an answer only
-   after this long. */
+/* Minimum age at which a request is late, because a slow node may be late to notice an
+   answer that has arrived. */
 #define LATE_MIN_US (50 * MS_US)
 /* One answer in two hundred from a healthy target is later than this. */
 #define OVERDUE_PROBABILITY 0.005
--- a/core/src/request/path.c
+++ b/core/src/request/path.c
@@ -2,7 +2,7 @@
 
 /* Consecutive calls without an answer that trip the breaker. */
 #define LOSSES_TO_BREAK 3u
-/* Within this time a path to a dead node has been closed. */
+/* Time for which a path stays doubtful. Within it, the path to a dead node is closed. */
 #define DOUBT_US G_GINT64_CONSTANT (1000000)
 #define PAUSE_FIRST_US G_GINT64_CONSTANT (1000000)
 #define PAUSE_DOUBLINGS_MAX 5u
--- a/core/src/request/path.h
+++ b/core/src/request/path.h
@@ -28,7 +28,7 @@
 void path_doubt (Path *path, gint64 now_us);
 gboolean path_is_doubtful (const Path *path, gint64 now_us);
 
-/* Whether requests may be sent on the path. */
+/* Returns whether requests may be sent on the path. */
 gboolean path_usable (const Path *path, gint64 now_us);
 
 #endif
--- a/core/src/request/placement.c
+++ b/core/src/request/placement.c
@@ -33,8 +33,8 @@
     case PLACEMENT_OWN_QUEUE:
       return slack_us >= OWN_QUEUE_MIN_US;
     case PLACEMENT_SHEDDING:
-      /* A target may have seen the request already; shedding targets may refuse it again,
-         while a queue leads to a slot. */
+      /* A request that a target may have refused before goes on to a queue, which leads
+         to a slot; a shedding target might refuse it again. */
       return arrivals == 0;
     default:
       return TRUE;
@@ -62,7 +62,7 @@
     placement->step++;
 }
 
-/* Whether the target refused because of its load. */
+/* Returns whether the target refused because of its load. */
 static gboolean
 is_load_refusal (Reason reason)
 {
--- a/core/src/request/quarantine-news.c
+++ b/core/src/request/quarantine-news.c
@@ -1,6 +1,6 @@
 #include "quarantine-private.h"
 
-/* Upper bound on the age of anything kept. */
+/* News with a greater age is rejected as implausible. */
 #define AGE_MAX_US (QUARANTINE_MEMORY_US + QUARANTINE_PAUSE_MAX_US)
 
 static void
@@ -19,9 +19,9 @@
                             .cleared_age_us = entry->epoch ? now - entry->cleared_us : -1,
                             .turn = entry->turn,
                             .trials = entry->trials,
-                            /* While `turn` is 0 there is no time of a next trial. The
-                               age of a zero `due_us` would look implausible to other
-                               nodes when this machine has been up for weeks. */
+                            /* Receivers ignore the time of the next trial while `turn`
+                               is 0. `due_us` may be 0 then, which would look implausible
+                               from a machine that has been up for over AGE_MAX_US. */
                             .due_in_us = entry->turn ? entry->due_us - now : 0 };
   for (guint i = 0; i < entry->end_count; i++)
     {
@@ -241,8 +241,8 @@
   return (digest ^ value) * 16777619u;
 }
 
-/* Covers only what is equal on all nodes: no times, and no entries that only guard
-   against late reports. */
+/* The digest covers only facts that are equal on all nodes. It leaves out times, and
+   entries that only guard against late reports. */
 static guint32
 entry_digest (const QuarantineEntry *entry)
 {
--- a/core/src/request/quarantine-private.h
+++ b/core/src/request/quarantine-private.h
@@ -55,7 +55,7 @@
 gboolean quarantine_is_urgent (const QuarantineEntry *entry);
 
 /* Returns the number of distinct moments with an end that counts against the entry. Sets
-   `decisive_us` to that of the QUARANTINE_ENDS_LIMIT-th, if there are so many. */
+   `decisive_us` to the QUARANTINE_ENDS_LIMIT-th of them, if there are that many. */
 guint quarantine_count_moments (const Quarantine *quarantine,
                                 const QuarantineEntry *entry,
                                 gint64 *decisive_us);
--- a/core/src/request/quarantine.c
+++ b/core/src/request/quarantine.c
@@ -5,8 +5,9 @@
 /* Trials that are made at once and after the short first pause. */
 #define TRIALS_EARLY 2u
 #define PAUSE_DOUBLINGS_MAX 4u
-/* An undecided trial is repeated only once, because each repetition reaches another
-   target. */
+/* A trial that leaves `turn` at this or above is not repeated if it is undecided, because
+   each repetition reaches another target. So only the first trial is repeated, at most
+   once. */
 #define UNDECIDED_TURNS_MAX 2u
 
 /* An end of a quarantined request counts against no other. */
