--- a/core/include/core/dispatch.h
+++ b/core/include/core/dispatch.h
@@ -72,7 +72,7 @@
 
 /* Reports, instead of dispatch_chosen, that the request is quarantined
    (core/quarantine.h). No further attempt is made. */
-DispatchStep dispatch_held_back (Dispatch *dispatch, gint64 retry_after_us);
+DispatchStep dispatch_quarantined (Dispatch *dispatch, gint64 retry_after_us);
 
 /* Reports the result of SEND. */
 DispatchStep dispatch_sent (Dispatch *dispatch,
--- a/core/include/core/quarantine.h
+++ b/core/include/core/quarantine.h
@@ -52,13 +52,13 @@
 #define QUARANTINE_ENDS_KEPT 6u
 /* Fingerprints that one end counts against; a request with a query has two. With more
    requests at work, an end says little about each of them. */
-#define QUARANTINE_WORK_MAX 24u
+#define QUARANTINE_FINGERPRINTS_MAX 24u
 /* A request that is not quarantined is forgotten this long after its last end. The time
    is long enough to recognise a request that arrives every few minutes. */
-#define QUARANTINE_MEMORY_US (600 * SECOND_US)
+#define QUARANTINE_RETENTION_US (600 * SECOND_US)
 /* A cleared entry is kept for this time, because reports from before it was cleared may
    arrive this late. */
-#define QUARANTINE_CLEARED_US (10 * SECOND_US)
+#define QUARANTINE_CLEARED_RETENTION_US (10 * SECOND_US)
 /* Pauses after the first and the second trial; later pauses double, up to an hour. Two
    trials fall within the first ten minutes, which leaves one of the three ends that the
    requirements allow for a request that is already in transit. */
--- a/core/src/request/dispatch.c
+++ b/core/src/request/dispatch.c
@@ -149,7 +149,7 @@
 }
 
 DispatchStep
-dispatch_held_back (Dispatch *dispatch, gint64 retry_after_us)
+dispatch_quarantined (Dispatch *dispatch, gint64 retry_after_us)
 {
   if (retry_after_us > 0)
     dispatch->retry_after_us = retry_after_us;
--- a/core/src/request/quarantine-news.c
+++ b/core/src/request/quarantine-news.c
@@ -1,7 +1,7 @@
 #include "quarantine-private.h"
 
 /* News with a greater age is rejected as implausible. */
-#define AGE_MAX_US (QUARANTINE_MEMORY_US + QUARANTINE_PAUSE_MAX_US)
+#define AGE_MAX_US (QUARANTINE_RETENTION_US + QUARANTINE_PAUSE_MAX_US)
 
 static void
 write_news (const Quarantine *quarantine,
@@ -118,9 +118,10 @@
   if (news->held_age_us >= 0)
     return FALSE;
   for (guint i = 0; i < news->end_count; i++)
-    if (news->end_ages_us[i] < QUARANTINE_MEMORY_US)
+    if (news->end_ages_us[i] < QUARANTINE_RETENTION_US)
       return FALSE;
-  return news->cleared_age_us < 0 || news->cleared_age_us > QUARANTINE_CLEARED_US;
+  return news->cleared_age_us < 0 ||
+         news->cleared_age_us > QUARANTINE_CLEARED_RETENTION_US;
 }
 
 static gboolean
--- a/core/src/request/quarantine.c
+++ b/core/src/request/quarantine.c
@@ -55,7 +55,7 @@
 {
   QuarantineEnd fact = { end, clock_now (quarantine->clock) };
   gboolean held = any_held (quarantine, requests);
-  guint room = QUARANTINE_WORK_MAX;
+  guint room = QUARANTINE_FINGERPRINTS_MAX;
 
   /* Listed requests are counted first: when more requests were running than one end
      counts against, a request that ends one target after another is then counted each
@@ -115,8 +115,8 @@
   if (entry->held_us)
     return now > MAX (entry->last_end_us, entry->due_us) + QUARANTINE_PAUSE_MAX_US;
   if (entry->end_count > 0)
-    return now > entry->last_end_us + QUARANTINE_MEMORY_US;
-  return now > entry->cleared_us + QUARANTINE_CLEARED_US;
+    return now > entry->last_end_us + QUARANTINE_RETENTION_US;
+  return now > entry->cleared_us + QUARANTINE_CLEARED_RETENTION_US;
 }
 
 void
--- a/core/tests/test-quarantine.c
+++ b/core/tests/test-quarantine.c
@@ -447,7 +447,7 @@
   Fixture *fixture = *state;
 
   crash_under (fixture, 0, &deadly, 1);
-  pass (fixture, QUARANTINE_MEMORY_US - SECOND_US);
+  pass (fixture, QUARANTINE_RETENTION_US - SECOND_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_SUSPECT);
   pass (fixture, 2 * SECOND_US);
   assert_int_equal (quarantine_entries (fixture->nodes[0])->len, 0);
--- a/daemon/src/request/exchange-quarantine.c
+++ b/daemon/src/request/exchange-quarantine.c
@@ -68,7 +68,7 @@
     return FALSE;
   metrics_add (exchange->owner->node->metrics, METRIC_QUARANTINE_REFUSED, 1);
   log_refusal (exchange, verdict);
-  step = dispatch_held_back (exchange->dispatch, verdict->retry_after_us);
+  step = dispatch_quarantined (exchange->dispatch, verdict->retry_after_us);
   exchange_carry_out (exchange, &step);
   return TRUE;
 }
