--- a/core/include/core/config.h
+++ b/core/include/core/config.h
@@ -3,7 +3,7 @@
  *
  * A part is the JSON text of one service, or of one shard of the routes, accounts or
  * access keys. It is named by a key ("service/taliad", "routes/2a", "accounts/07",
- * "keys/3f") and identified by the SHA-256 of its text. Parts contain only digests of
+ * "keys/3f"), and its digest is the SHA-256 of its text. Parts contain only digests of
  * access keys, never the keys. A head lists the digests of all parts of one generation.
  * Parts and snapshots are reference-counted, and generations share unchanged parts.
  */
--- a/core/include/core/quarantine.h
+++ b/core/include/core/quarantine.h
@@ -37,8 +37,8 @@
 /* Ends that quarantine a request: the limit that the requirements set. */
 #define QUARANTINE_ENDS_LIMIT 3u
 /* Ends that are closer together count as one event, because a host, a rack or a hall
-   fails with many targets at one moment. News of an end is delayed by at most a trip
-   between halls, 12 ms. */
+   fails with many targets at one moment. An update about an end is delayed by at most a
+   trip between halls, 12 ms. */
 #define QUARANTINE_MOMENT_US (30 * MS_US)
 /* Time for an answer to arrive from elsewhere: the longest mean latency of a route in the
    reference deployment is 290 ms. The requirements allow at least 3 s from the third end,
@@ -165,7 +165,7 @@
 /* Returns all entries (QuarantineEntry), borrowed. */
 const GArray *quarantine_entries (const Quarantine *quarantine);
 
-/* --- News between nodes. Times are sent as ages; clocks are never compared. --- */
+/* --- Updates between nodes. Times are sent as ages; clocks are never compared. --- */
 
 typedef struct
 {
@@ -191,14 +191,14 @@
                              soon be quarantined */
 } QuarantineUrgency;
 
-/* Takes the news for one message, at most `max` and the most urgent first, and returns
+/* Takes the updates for one message, at most `max` and the most urgent first, and returns
    how many. Each change is sent a limited number of times. */
 guint quarantine_next_news (Quarantine *quarantine, QuarantineNews *news, guint max);
 QuarantineUrgency quarantine_urgency (const Quarantine *quarantine);
 /* Takes up to `max` entries whether or not they have been sent before, the next part of
    the list with each call. */
 guint quarantine_next_part (Quarantine *quarantine, QuarantineNews *news, guint max);
-/* Merges received news. Returns TRUE if it changed the list. */
+/* Merges a received update. Returns TRUE if it changed the list. */
 gboolean quarantine_merge (Quarantine *quarantine, const QuarantineNews *news);
 /* Returns a digest of the list, equal on nodes with equal lists; 0 for an empty one. */
 guint32 quarantine_digest (const Quarantine *quarantine);
--- a/core/src/request/quarantine-news.c
+++ b/core/src/request/quarantine-news.c
@@ -111,7 +111,7 @@
   return TRUE;
 }
 
-/* Returns whether an entry made from this news would be forgotten at once. */
+/* Returns whether an entry made from this update would be forgotten at once. */
 static gboolean
 is_stale (const QuarantineNews *news)
 {
@@ -160,7 +160,7 @@
   return TRUE;
 }
 
-/* Merges news of the entry's current epoch. */
+/* Merges an update of the entry's current epoch. */
 static gboolean
 merge_current_epoch (Quarantine *quarantine,
                      QuarantineEntry *entry,
@@ -176,8 +176,8 @@
   return any;
 }
 
-/* Creates an entry for news of an unlisted request. Returns NULL if the news is stale or
-   the list is full of entries that matter more. */
+/* Creates an entry for an update about an unlisted request. Returns NULL if the update is
+   stale or the list is full of entries that matter more. */
 static QuarantineEntry *
 add_entry_for_news (Quarantine *quarantine, const QuarantineNews *news, gint64 now)
 {
@@ -193,7 +193,7 @@
   return quarantine_add_entry (quarantine, &rank);
 }
 
-/* Returns TRUE if the news changed the entry. */
+/* Returns TRUE if the update changed the entry. */
 static gboolean
 merge_into (Quarantine *quarantine,
             QuarantineEntry *entry,
--- a/core/src/request/quarantine-private.h
+++ b/core/src/request/quarantine-private.h
@@ -1,7 +1,7 @@
 /*
  * Internals of the quarantine, shared by quarantine.c (verdicts and trials),
  * quarantine-list.c (the entries and their eviction), quarantine-blame.c (which request
- * an end counts against) and quarantine-news.c (news between nodes).
+ * an end counts against) and quarantine-news.c (updates between nodes).
  */
 #ifndef CORE_QUARANTINE_PRIVATE_H
 #define CORE_QUARANTINE_PRIVATE_H
@@ -12,7 +12,7 @@
 {
   Clock *clock;
   GArray *entries;         /* of QuarantineEntry */
-  GArray *remaining_sends; /* of guint, one per entry: how often its news is still to be
+  GArray *remaining_sends; /* of guint, one per entry: how often its update is still to be
                               sent */
   guint next_part_start;
   QuarantineChanged changed;
@@ -42,12 +42,12 @@
 /* Quarantines the request as of `at_us`. */
 void quarantine_set_held (Quarantine *quarantine, QuarantineEntry *entry, gint64 at_us);
 
-/* How often news is sent, if urgent and if not. Messages that get lost are repaired by
-   the comparison of digests. */
+/* How often an update is sent, if urgent and if not. Messages that get lost are repaired
+   by the comparison of digests. */
 #define QUARANTINE_SENDS_URGENT 12u
 #define QUARANTINE_SENDS_NORMAL 4u
 
-/* Schedules an entry's news to be sent after a change. */
+/* Schedules an entry's update to be sent after a change. */
 void quarantine_schedule_news (Quarantine *quarantine,
                                const QuarantineEntry *entry,
                                gboolean urgent);
--- a/core/tests/test-quarantine.c
+++ b/core/tests/test-quarantine.c
@@ -1,6 +1,6 @@
 /*
  * Tests which requests are quarantined, at which nodes, and when they are released. The
- * nodes exchange news only when a test does so explicitly.
+ * nodes exchange updates only when a test does so explicitly.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,9 +15,9 @@
 #define SERVICE 7u
 #define VERSION 1u
 #define NEWS_MAX 64u
-/* The machine has been up for a month. News of an entry without a trial once carried the
-   age of time 0, which peers rejected as implausible, so that they did not quarantine the
-   request. On machines that had just been started the fault did not show. */
+/* The machine has been up for a month. An update of an entry without a trial once carried
+   the age of time 0, which peers rejected as implausible, so that they did not quarantine
+   the request. On machines that had just been started the fault did not show. */
 #define UPTIME_US (30 * 24 * 3600 * SECOND_US)
 /* Between crashes that one request causes: it runs for some 65 ms before each. */
 #define CRASH_GAP_US (100 * MS_US)
@@ -87,7 +87,7 @@
     quarantine_merge (fixture->nodes[to], &news[i]);
 }
 
-/* Exchanges news until every node has all of it. */
+/* Exchanges updates until every node has all of them. */
 static void
 exchange_all_news (Fixture *fixture)
 {
@@ -386,7 +386,7 @@
     assert_int_equal (state_at (fixture, i, &sound), QUARANTINE_FREE);
 }
 
-/* News from before an answer is ignored when it arrives after it. */
+/* Updates from before an answer are ignored when they arrive after it. */
 static void
 test_news_from_before_an_answer_is_ignored (void **state)
 {
@@ -583,7 +583,7 @@
   assert_int_equal (quarantine_next_news (fixture->nodes[0], news, NEWS_MAX), 0);
 }
 
-/* News with values that no node sends is ignored. */
+/* Updates with values that no node sends are ignored. */
 static void
 test_implausible_news_is_ignored (void **state)
 {
