--- a/io/src/http-gone.c
+++ b/io/src/http-gone.c
@@ -3,7 +3,7 @@
 #include <poll.h>
 
 /* Longest time until a closed connection is noticed: a quarter of the half second after
-   which the users' platform counts work for an absent caller as waste. */
+   which the users' platform counts work for a caller that has left as waste. */
 #define GONE_CHECK_US (125 * MS_US)
 
 /* Calls the functions of the requests whose callers have closed their connections, once
@@ -25,8 +25,9 @@
 
 /*
  * libmicrohttpd does not watch a connection while its request is suspended, so one poll
- * for all such connections runs at intervals. Unlike a watch in the loop, POLLRDHUP also
- * reports a connection that was closed behind further unread requests.
+ * for all such connections runs at intervals. POLLRDHUP reports that the caller has
+ * closed its side even if further requests were sent before and are still unread. A watch
+ * in the loop would only report that there is data to read.
  */
 void
 http_gone_check (gpointer data)
--- a/io/src/http-server.c
+++ b/io/src/http-server.c
@@ -9,7 +9,8 @@
 #include <io/socket.h>
 
 #define SWEEP_US (SECOND_US / 4)
-/* Suggested delay for callers refused because of `held_max`. */
+/* Retry-After of requests refused because of `held_max`, in seconds: there may be room
+   again by then. */
 #define FULL_RETRY_AFTER_S "1"
 #define READ_TIMEOUT_ANSWER                                                              \
   "HTTP/1.1 408 Request Timeout\r\nSwitchmill-Outcome: not-run\r\n"                      \
@@ -78,7 +79,7 @@
   request->server->held += bytes;
 }
 
-/* Returns whether `bytes` more would exceed the bytes held for all requests. */
+/* Returns whether `bytes` more would exceed `held_max`, the bound for all requests. */
 static gboolean
 is_full (const HttpServer *server, guint64 bytes)
 {
--- a/io/tests/test-slow-readers.c
+++ b/io/tests/test-slow-readers.c
@@ -1,6 +1,6 @@
 /*
- * Callers that do not read their answers. Without a bound, 300 of them with answers of
- * 500 KB each held 150 MB of a node's 160 MB without a time limit.
+ * Callers that do not read their answers. Without the limits on held bytes and on stalls,
+ * 300 of them with answers of 500 KB each held 150 MB of a node's 160 MB indefinitely.
  */
 #include <setjmp.h>
 #include <stdarg.h>
