--- a/bench/src/allowance-net-private.h
+++ b/bench/src/allowance-net-private.h
@@ -12,7 +12,8 @@
 #define RUN_S 60u
 #define STEPS (RUN_S * STEPS_PER_S)
 #define WINDOW_S 5u
-/* Simulated before the run, so that the buckets fill up. All nodes know each other. */
+/* The clock is advanced by this before the run, so that the buckets are full. All nodes
+   know each other. */
 #define SETTLE_US (20 * SECOND_US)
 #define TIMEOUT_US (60 * MS_US)
 #define LENDER_SILENT_SKIP_US (500 * MS_US)
--- a/bench/src/bench-members.c
+++ b/bench/src/bench-members.c
@@ -49,8 +49,8 @@
           100 * (cpu_seconds () - cpu) / node_seconds);
 }
 
-/* Waits `settle` seconds before the idle measurement, until the news of the joins has
-   died down; 0 leaves out the idle measurement and the restarts. */
+/* Waits `settle` seconds before the idle measurement, until the news of the joins is no
+   longer sent; 0 leaves out the idle measurement and the restarts. */
 static void
 run (guint count, guint settle)
 {
--- a/bench/src/traces.h
+++ b/bench/src/traces.h
@@ -1,6 +1,8 @@
 /*
  * Synthetic traces for failure detectors: a service of a few targets with one fault, on a
  * manual clock. Kind, shape and seed determine the trace, so detectors can be compared.
+ * It is the same for all of them up to the first ejection, after which the ejected target
+ * receives trial requests only.
  */
 #ifndef BENCH_TRACES_H
 #define BENCH_TRACES_H
--- a/client/src/outcomes-private.h
+++ b/client/src/outcomes-private.h
@@ -16,7 +16,7 @@
   CAUSE_BROKEN,        /* an answer was truncated, crossed or too large */
   CAUSE_NODE_LOST,     /* the target's node did not answer or was not reached */
   CAUSE_NO_SLOT,       /* every target that was tried was full */
-  CAUSE_QUEUE,         /* the time left was too short for it */
+  CAUSE_QUEUE,         /* the time left was too short, at once or after a wait */
   CAUSE_BUDGET,        /* the retry budget was exhausted */
   CAUSE_SICK,          /* the remaining targets counted as sick */
   CAUSE_NO_TARGET,     /* no target remained */
--- a/standins/src/relay.c
+++ b/standins/src/relay.c
@@ -81,8 +81,8 @@
                (side->ended ? 0 : LOOP_READ) | (open && side->out->len ? LOOP_WRITE : 0));
 }
 
-/* Forwards buffered data in the open directions. The end of a stream counts as data: the
-   pair is freed only after it could be forwarded. */
+/* Forwards buffered data in the open directions. After the end of a stream the pair is
+   closed once that stream's direction is open and all its data has been forwarded. */
 static void
 settle (Pair *pair)
 {
