--- a/client/src/outcomes-private.h
+++ b/client/src/outcomes-private.h
@@ -28,19 +28,19 @@
 
 typedef enum
 {
-  FATE_SERVED,
-  FATE_LATE, /* served later than its objective */
-  FATE_REFUSED,
-  FATE_FAILED,
-  FATE_COUNT
-} Fate;
+  RESULT_SERVED,
+  RESULT_LATE, /* served later than its objective */
+  RESULT_REFUSED,
+  RESULT_FAILED,
+  RESULT_COUNT
+} RequestResult;
 
 typedef struct
 {
   char *class;
   gint64 began_s;
   gint64 took_us;
-  Fate fate;
+  RequestResult final_result;
   Cause cause;
   gboolean over;      /* its final log line was found */
   gboolean by_target; /* the target answered with a status of 500 or above */
--- a/client/src/outcomes-report.c
+++ b/client/src/outcomes-report.c
@@ -11,15 +11,15 @@
   "budget", "sick",          "nobody-left", "leaving", "caller-left", "other"
 };
 
-static const char *const fate_names[FATE_COUNT] = { "served", "late", "refused",
-                                                    "failed" };
+static const char *const result_names[RESULT_COUNT] = { "served", "late", "refused",
+                                                        "failed" };
 
 /* The counts of one class in one span. */
 typedef struct
 {
   char *class;
   gint64 span;
-  guint fates[FATE_COUNT];
+  guint result_counts[RESULT_COUNT];
   guint causes[CAUSE_COUNT];
   guint call_causes[CAUSE_COUNT]; /* of requests that failed because a call of their
                                      target failed */
@@ -63,8 +63,9 @@
   while (g_hash_table_iter_next (&iter, &id, &value))
     {
       const Request *request = value;
-      char *parent =
-          request->over && request->fate >= FATE_REFUSED ? parent_id (id) : NULL;
+      char *parent = request->over && request->final_result >= RESULT_REFUSED
+                         ? parent_id (id)
+                         : NULL;
 
       if (parent)
         g_hash_table_replace (causes, parent, GUINT_TO_POINTER (request->cause));
@@ -98,13 +99,13 @@
 {
   gpointer cause;
 
-  row->fates[request->fate]++;
+  row->result_counts[request->final_result]++;
   row->own_hall += request->own_hall;
   row->other_halls += request->other_halls;
   row->retries += request->retries;
   row->hedges += request->hedges;
   row->budget_denied += request->budget_denied;
-  if (request->fate < FATE_REFUSED)
+  if (request->final_result < RESULT_REFUSED)
     return;
   row->unserved_us += request->took_us;
   if (request->by_target && g_hash_table_lookup_extended (calls, id, NULL, &cause))
@@ -146,15 +147,15 @@
 {
   guint sum = 0;
 
-  for (guint i = 0; i < FATE_COUNT; i++)
-    sum += row->fates[i];
+  for (guint i = 0; i < RESULT_COUNT; i++)
+    sum += row->result_counts[i];
   return sum;
 }
 
 static guint
 unserved (const Row *row)
 {
-  return row->fates[FATE_REFUSED] + row->fates[FATE_FAILED];
+  return row->result_counts[RESULT_REFUSED] + row->result_counts[RESULT_FAILED];
 }
 
 /* Returns the mean time that a request took which was not served, in milliseconds. */
@@ -225,10 +226,10 @@
           text,
           "%-12" G_GINT64_FORMAT " %-22s %6u %6u %6u %7u %6u %7" G_GINT64_FORMAT
           " %6u %6u %6u %6u %6u ",
-          row->span, row->class, asked (row), row->fates[FATE_SERVED],
-          row->fates[FATE_LATE], row->fates[FATE_REFUSED], row->fates[FATE_FAILED],
-          held_ms (row), row->own_hall, row->other_halls, row->retries, row->hedges,
-          row->budget_denied);
+          row->span, row->class, asked (row), row->result_counts[RESULT_SERVED],
+          row->result_counts[RESULT_LATE], row->result_counts[RESULT_REFUSED],
+          row->result_counts[RESULT_FAILED], held_ms (row), row->own_hall,
+          row->other_halls, row->retries, row->hedges, row->budget_denied);
       append_causes (text, "", row->causes);
       append_causes (text, "call:", row->call_causes);
       g_string_append_c (text, '\n');
@@ -255,8 +256,8 @@
   json_builder_begin_object (builder);
   json_write_int (builder, "from_s", row->span);
   json_write_string (builder, "class", row->class);
-  for (guint i = 0; i < FATE_COUNT; i++)
-    json_write_int (builder, fate_names[i], row->fates[i]);
+  for (guint i = 0; i < RESULT_COUNT; i++)
+    json_write_int (builder, result_names[i], row->result_counts[i]);
   write_causes (builder, "causes", row->causes);
   write_causes (builder, "call_causes", row->call_causes);
   json_write_int (builder, "unserved_held_ms", held_ms (row));
--- a/client/src/outcomes.c
+++ b/client/src/outcomes.c
@@ -131,10 +131,11 @@
   request->by_target = status >= HTTP_SERVER_ERROR;
   if (strcmp (outcome, "done") == 0 && !request->by_target)
     {
-      request->fate = is_yes (node, "late") ? FATE_LATE : FATE_SERVED;
+      request->final_result = is_yes (node, "late") ? RESULT_LATE : RESULT_SERVED;
       return;
     }
-  request->fate = strcmp (outcome, "not-run") == 0 ? FATE_REFUSED : FATE_FAILED;
+  request->final_result =
+      strcmp (outcome, "not-run") == 0 ? RESULT_REFUSED : RESULT_FAILED;
   request->cause = request->by_target
                        ? CAUSE_TARGET_FAILED
                        : cause_of_reason (log_line_member (node, "reason"));
--- a/model/era.pml
+++ b/model/era.pml
@@ -73,7 +73,7 @@
 }
 
 /* Writes the left entry once more, before the copy is taken or after it. */
-active proctype Leaver ()
+active proctype EntryWriter ()
 {
   atomic {
     if
