--- a/daemon/src/request/exchange-choice.c
+++ b/daemon/src/request/exchange-choice.c
@@ -4,8 +4,8 @@
 
 #include "config-sync.h"
 
-/* Refusals with REASON_UNPROVED after which a target need not have kept a request lately
-   (core/proof.h). */
+/* After this many refusals with REASON_UNPROVED, a target is asked to accept the request
+   even if it has not kept one lately (core/proof.h). */
 #define UNPROVED_MAX 5u
 
 /* A node counts as newly started until the targets' heartbeats (one in 1.5 s each) have
--- a/daemon/src/request/exchange-hedge.c
+++ b/daemon/src/request/exchange-hedge.c
@@ -64,7 +64,7 @@
   if (exchange->abandoned || exchange->hedge || exchange->hedges >= HEDGES_MAX ||
       !dispatch_may_hedge (exchange->dispatch))
     return;
-  /* A request under which targets have ended is not sent to two targets at once. */
+  /* A request suspected of crashing targets is not sent to two of them at once. */
   if (exchange_quarantine (exchange).state != QUARANTINE_FREE)
     return;
   attempt = attempt_create (exchange);
--- a/daemon/src/request/exchange-private.h
+++ b/daemon/src/request/exchange-private.h
@@ -83,7 +83,8 @@
   LoopTimer *timer;
   gint64 began_us;
   GPtrArray *tried; /* names of targets that are not chosen again */
-  GPtrArray *busy;  /* names of targets without a free slot; not in `tried` */
+  GPtrArray *busy;  /* names of targets that had no free slot; chosen again only at
+                       PLACEMENT_LAST_QUEUE */
   Placement placement;
   RequestFingerprints print;
   guint unproved;   /* refusals for REASON_UNPROVED */
--- a/daemon/src/request/exchange-quarantine.c
+++ b/daemon/src/request/exchange-quarantine.c
@@ -58,8 +58,9 @@
 exchange_hold_back (Exchange *exchange, const QuarantineVerdict *verdict)
 {
   gboolean held = verdict->state == QUARANTINE_HELD;
-  /* Two or more targets have ended under such requests, and a target may have seen this
-     one. Whether it ended one of them will be known shortly, and the caller may retry. */
+  /* Two or more targets have crashed while they ran such requests, and a target may have
+     received this one. Whether this one crashed a target will be known shortly, and the
+     caller may retry then. */
   gboolean doubted =
       verdict->state == QUARANTINE_DOUBTED && dispatch_arrivals (exchange->dispatch) > 0;
   DispatchStep step;
--- a/daemon/src/request/ingress.c
+++ b/daemon/src/request/ingress.c
@@ -23,7 +23,7 @@
   Exchanges *exchanges;
   StartQueue *start_queue;
   Splitter *splitter;
-  guint64 split_generation; /* of the configuration at the splitter's last pruning */
+  guint64 split_generation; /* of the configuration at the splitter's last reset */
   gboolean draining;
 };
 
