--- a/daemon/src/target/sidecar-holds.h
+++ b/daemon/src/target/sidecar-holds.h
@@ -1,7 +1,9 @@
 /*
- * Slots that a sidecar holds for requests from other halls, so that a request body is
- * sent between halls only if it will be accepted. A slot whose request does not arrive in
- * time is released.
+ * Slots that a sidecar holds for requests that are sent afterwards. Unless it may queue
+ * or has a ticket, a request is sent to another hall only once a slot is held for it
+ * there. Within the hall, a node that has not been heard lately is asked for a slot
+ * first, because a lost slot request costs less than a lost request. A slot whose request
+ * does not arrive in time is released.
  */
 #ifndef DAEMON_SIDECAR_HOLDS_H
 #define DAEMON_SIDECAR_HOLDS_H
--- a/daemon/src/target/sidecar-private.h
+++ b/daemon/src/target/sidecar-private.h
@@ -1,6 +1,10 @@
 /*
  * Declarations shared by the files of the sidecar. A submission is one attempt at a
- * target, from its admission to its answer; its files begin with "submission".
+ * target, from its admission to its answer. sidecar.c creates the sidecar, applies
+ * configurations and runs the periodic checks, sidecar-calls.c handles the calls of
+ * ingresses, submission.c admits, runs and answers submissions, submission-watch.c
+ * reports their ends to the target's detector and the route's latency statistics, and
+ * submission-fingerprint.c selects the fields that identify their requests.
  */
 #ifndef DAEMON_SIDECAR_PRIVATE_H
 #define DAEMON_SIDECAR_PRIVATE_H
@@ -121,9 +125,10 @@
    it is known, else that of this VM. */
 LatencyFit submission_latency_fit (const Submission *submission);
 
-/* Called periodically: the first answers waiters whose time is over that the attempt is
-   still running, the second counts an overdue attempt against its target. */
+/* Called periodically. Answers the waiters whose time is over that the attempt is still
+   running. */
 void submission_expire_waiters (Submission *submission, gint64 now);
+/* Called periodically. Counts an overdue attempt as a failure of its target. */
 void submission_check_overdue (Submission *submission, gint64 now);
 
 #endif
--- a/daemon/src/target/sidecar.c
+++ b/daemon/src/target/sidecar.c
@@ -61,7 +61,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  /* Iterates over a copy, so that a check may end submissions. */
+  /* Iterates over a copy of the keys, so that the set may change during the checks. */
   running = g_hash_table_get_keys (sidecar->submissions);
   for (GList *item = running; item; item = item->next)
     {
