--- a/daemon/src/member/gossip-private.h
+++ b/daemon/src/member/gossip-private.h
@@ -1,6 +1,6 @@
 /*
  * Shared by the files of gossip: gossip.c runs the protocol, gossip-send.c sends its
- * datagrams, gossip-news.c writes and applies membership news, and gossip-repair.c
+ * datagrams, gossip-news.c writes and applies membership updates, and gossip-repair.c
  * compares views.
  */
 #ifndef DAEMON_GOSSIP_PRIVATE_H
@@ -15,14 +15,14 @@
   Node *node;
   Datagram *datagram;
   LoopTimer *timer;
-  LoopTimer *forward_timer; /* forwards news from other halls in this one */
-  LoopTimer *spread;        /* sends the quarantine's news */
-  gboolean spread_urgent;   /* the timer runs for urgent news */
+  LoopTimer *forward_timer; /* forwards updates from other halls in this one */
+  LoopTimer *spread;        /* sends the quarantine's updates */
+  gboolean spread_urgent;   /* the timer runs for urgent updates */
   GHashTable *relays;       /* xid → Relay */
   guint32 relay_sequence;
 };
 
-/* Send a call or a reply that carries this node's news for `to`, NULL for an unknown
+/* Send a call or a reply that carries this node's updates for `to`, NULL for an unknown
    receiver. */
 void gossip_send_call (Gossip *gossip,
                        const char *address,
--- a/daemon/src/member/gossip-send.c
+++ b/daemon/src/member/gossip-send.c
@@ -5,7 +5,7 @@
 #include "platform-era.h"
 #include "quarantine-node.h"
 
-/* Fills a message with this node's news; clear_gossip frees what this allocates. */
+/* Fills a message with this node's updates; clear_gossip frees what this allocates. */
 static void
 fill_gossip (Gossip *gossip, const char *to, sw_gossip *message)
 {
@@ -31,7 +31,7 @@
   config_sync_clear_evacuations (&message->evacuations);
 }
 
-/* Counts the bytes of a sent message: its news as rumours, the rest as probes. */
+/* Counts the bytes of a sent message: its updates as rumours, the rest as probes. */
 static void
 count_sent (Gossip *gossip, const char *to, const sw_gossip *message, gsize bytes)
 {
--- a/daemon/src/member/gossip.c
+++ b/daemon/src/member/gossip.c
@@ -8,7 +8,7 @@
 #include "quarantine-node.h"
 
 /* A push goes to NEAR_FANOUT members of the own hall and to one member of each of
-   FAR_FANOUT other halls, which forwards news to NEAR_FANOUT members of its hall. */
+   FAR_FANOUT other halls, which forwards updates to NEAR_FANOUT members of its hall. */
 #define NEAR_FANOUT 3u
 #define FAR_FANOUT 3u
 /* A node that has discovered others probes JOIN_NEAR nodes of its hall and JOIN_FAR of
@@ -16,25 +16,26 @@
    a fleet's start would take a quadratic number of messages. */
 #define JOIN_NEAR 6u
 #define JOIN_FAR 2u
-/* Delay after which news from other halls is forwarded, so that several messages that
+/* Delay after which updates from other halls are forwarded, so that several messages that
    arrive together are forwarded once. */
 #define FORWARD_DELAY_US (10 * MS_US)
-/* News of requests that crash targets concerns all nodes at once: each node that receives
-   it sends it to SPREAD_NEAR members of its hall and to one member of each of SPREAD_FAR
-   other halls. In the simulated fleet all 1,200 nodes hold a request back 0.6 s after it
-   has crashed a third target, 0.3 s of which is settling time. An alternative, in which
-   two home nodes of each request count crashes and notify all others, is no faster and
-   fails if both are gone (bench-quarantine). */
+/* Updates on requests that crash targets concern all nodes at once: each node that
+   receives one sends it to SPREAD_NEAR members of its hall and to one member of each of
+   SPREAD_FAR other halls. In the simulated fleet all 1,200 nodes hold a request back
+   0.6 s after it has crashed a third target, 0.3 s of which is settling time. An
+   alternative, in which two home nodes of each request count crashes and notify all
+   others, is no faster and fails if both are gone (bench-quarantine). */
 #define SPREAD_NEAR 3u
 #define SPREAD_FAR 1u
-/* The quarantine's news is sent after SPREAD_FIRST_US, together with what has arrived
-   meanwhile, and then at an interval as long as sends remain: four messages of 0.4 KB
-   each time. SPREAD_INTERVAL_US keeps news that is not urgent within the 3 KB/s that a
-   node may send for control. */
+/* The quarantine's updates are sent after SPREAD_FIRST_US, together with those that have
+   arrived meanwhile. They are sent again every SPREAD_URGENT_US or SPREAD_INTERVAL_US
+   until each has been sent often enough: four messages of 0.4 KB each time.
+   SPREAD_INTERVAL_US keeps updates that are not urgent within the 3 KB/s that a node may
+   send for control. */
 #define SPREAD_FIRST_US (10 * MS_US)
 #define SPREAD_URGENT_US (100 * MS_US)
 #define SPREAD_INTERVAL_US (600 * MS_US)
-/* Set in the sequence numbers of relayed probes, joins and news; the numbers of the
+/* Set in the sequence numbers of relayed probes, joins and pushes; the numbers of the
    membership's own probes are below it. */
 #define RELAY_SEQUENCE_BIT 0x80000000u
 #define RELAY_LIFE_US (2 * SECOND_US)
@@ -271,7 +272,7 @@
   QuarantineUrgency urgency = quarantine_node_urgency (gossip->node->quarantine);
   gboolean waits = loop_timer_is_started (gossip->spread);
 
-  /* Urgent news does not wait for a timer that was started for other news. */
+  /* Urgent updates do not wait for a timer that was started for others. */
   if (urgency == QUARANTINE_NEWS_NONE ||
       (waits && (urgency != QUARANTINE_NEWS_URGENT || gossip->spread_urgent)))
     return;
--- a/daemon/src/member/gossip.h
+++ b/daemon/src/member/gossip.h
@@ -14,12 +14,12 @@
 Gossip *gossip_create (Node *node, GError **error);
 void gossip_destroy (Gossip *gossip);
 
-/* Sends this node's news to a few members of this and other halls now, instead of with
+/* Sends this node's updates to a few members of this and other halls now, instead of with
    the next probe. */
 void gossip_push (Gossip *gossip);
 
-/* Starts to send the quarantine's news to a few members at intervals, until each entry
-   has been sent often enough. */
+/* Starts to send the quarantine's updates to a few members at intervals, until each has
+   been sent often enough. */
 void gossip_schedule_quarantine_news (Gossip *gossip);
 
 /* A node's address as discovery reports it. */
--- a/daemon/src/member/path-probe.h
+++ b/daemon/src/member/path-probe.h
@@ -1,6 +1,7 @@
 /*
- * Probes broken paths: a node that did not answer calls of this node gets no work from it
- * until it has answered a ping. Requests of callers are not risked for such probes.
+ * Probes broken paths. Until a node that did not answer calls has answered a ping, this
+ * node sends it requests only if no other target is available, so that callers' requests
+ * do not serve as probes.
  */
 #ifndef DAEMON_PATH_PROBE_H
 #define DAEMON_PATH_PROBE_H
