--- a/daemon/src/config/config-sync.c
+++ b/daemon/src/config/config-sync.c
@@ -15,10 +15,10 @@
 /* The same for a fleet's first start, until the platform's list names the other nodes. */
 #define WATCH_SETTLE_FIRST_US (10 * SECOND_US)
 /* Minimum numbers of nodes that watch the store, in each hall and in the whole fleet.
-   When a third of the nodes lose the store, all of nine watchers lose it in one of 12,000
-   cases. The other nodes hear of changes by gossip, within a second at 30 nodes. With a
-   watch at each of 353 nodes, a quiet 40 s took 2,859 calls, most of them for changes and
-   renewals. */
+   If a third of the nodes lose the store, all of nine watchers are among them in one of
+   12,000 cases. The other nodes hear of changes by gossip, within a second at 30 nodes.
+   With a watch at each of 353 nodes, a quiet 40 s took 2,859 calls, most of them for
+   changes and renewals. */
 #define WATCHERS_PER_HALL 2u
 #define WATCHERS_MIN 9u
 /* Backoff of failed watches: 125 ms, doubled up to one second. */
