--- a/daemon/src/account/allowance-fleet.c
+++ b/daemon/src/account/allowance-fleet.c
@@ -205,7 +205,8 @@
   return age_us (fleet) < STARTUP_US && !fleet->includes_list;
 }
 
-/* The part of the fleet that this node sees, 0 to 1. The list counts as the whole. */
+/* Returns the part of the fleet that this node sees, 0 to 1. While the platform's list is
+   used, that is the whole. */
 static double
 seen_share (const AllowanceFleet *fleet)
 {
--- a/daemon/src/account/allowance-fleet.h
+++ b/daemon/src/account/allowance-fleet.h
@@ -14,14 +14,14 @@
 AllowanceFleet *allowance_fleet_create (const Node *node);
 void allowance_fleet_destroy (AllowanceFleet *fleet);
 
-/* Applies a member's state; TRUE when the member has joined or left. */
+/* Applies a member's state; returns TRUE if the member has joined or left. */
 gboolean allowance_fleet_note_member (AllowanceFleet *fleet, const Member *member);
 
-/* The platform's list has been read to its end. */
+/* Notes that the platform's list has been read completely. */
 void allowance_fleet_note_list (AllowanceFleet *fleet);
 
-/* Switches from the platform's list to the known members once the list's time is over;
-   TRUE when it switches, which may change the lenders. Call before
+/* Switches from the platform's list to the known members once the list's time is over.
+   Returns TRUE if it switches, which may change the lenders. Call this before
    allowance_fleet_lenders and allowance_fleet_share. */
 gboolean allowance_fleet_expire_list (AllowanceFleet *fleet);
 
@@ -31,11 +31,11 @@
                                const char *account,
                                const char *lenders[ALLOWANCE_LENDERS]);
 
-/* This node's share of the account's allowance, 0 to 1; 0 when it is not a lender. */
+/* Returns this node's share of the account's allowance, 0 to 1; 0 if it is no lender. */
 double allowance_fleet_share (const AllowanceFleet *fleet, const char *account);
 
-/* The time, by the node's clock, from which this node alone lends its share: its start,
-   or the last change in the membership after its first seconds. */
+/* Returns the time, by the node's clock, from which this node alone lends its share: its
+   start, or the last change in the membership after its first seconds. */
 gint64 allowance_fleet_lends_since_us (const AllowanceFleet *fleet);
 
 #endif
--- a/daemon/src/account/allowances-lend.c
+++ b/daemon/src/account/allowances-lend.c
@@ -40,7 +40,8 @@
     prune (allowances);
 }
 
-/* The account's limits from the newer configuration, this node's or the caller's. */
+/* Returns the account's limits from the newer configuration, this node's or the
+   caller's. */
 static AllowanceTerms
 newest_terms (const Allowances *allowances, const sw_allow_args *args)
 {
--- a/daemon/src/account/allowances.c
+++ b/daemon/src/account/allowances.c
@@ -15,7 +15,7 @@
 /* How long a lender that did not answer is skipped. */
 #define LENDER_SILENT_SKIP_US (500 * MS_US)
 /* How long a node that answers that it is no lender is skipped. Its view of the fleet
-   differs from ours, and the views converge within a probe. */
+   differs from ours, and the views converge within the time of one probe. */
 #define NOT_LENDER_SKIP_US (50 * MS_US)
 /* While no lender can be called, a request waits for half of its latency objective: the
    nodes of a fleet that has just started know each other within a second. */
--- a/daemon/src/account/allowances.h
+++ b/daemon/src/account/allowances.h
@@ -27,8 +27,8 @@
   gint64 retry_after_us; /* 0 when granted */
 } AllowanceVerdict;
 
-/* Runs once for each request offered, unless its caller hangs up first. `order` is valid
-   only during the call. */
+/* Called once for each request that is checked, unless its caller hangs up first. `order`
+   is valid only during the call. */
 typedef void (*AllowanceDone) (ExchangeOrder *order,
                                const AllowanceVerdict *verdict,
                                gpointer data);
@@ -47,7 +47,7 @@
 /* Applies a member's state, after a change in the membership. */
 void allowances_note_member (Allowances *allowances, const Member *member);
 
-/* The platform's list of the fleet has been read to its end. */
+/* Notes that the platform's list of the fleet has been read completely. */
 void allowances_note_list (Allowances *allowances);
 
 /* Answers a lending request of another node, or of this node itself. `res` must be
--- a/daemon/src/account/credentials.c
+++ b/daemon/src/account/credentials.c
@@ -9,8 +9,8 @@
    rejected without being hashed. */
 #define KEY_MAX 1024u
 
-/* The key after the scheme, or NULL. Blanks around the key are not part of it (RFC 9110,
-   section 11.4). */
+/* Returns the key after the scheme, or NULL. Blanks around the key are not part of it
+   (RFC 9110, section 11.4). */
 static const char *
 find_bearer_key (const char *value, gsize *len)
 {
--- a/daemon/src/account/identity.h
+++ b/daemon/src/account/identity.h
@@ -27,13 +27,13 @@
                         const Route *route,
                         const char *tenant);
 
-/* The reason for the refusal, as text for the caller. */
+/* Returns the reason for the refusal, as text for the caller. */
 const char *identity_refusal (const Identity *identity);
 
 /* Counts a refused caller, and logs one line with the reason. */
 void identity_log (const Identity *identity, Node *node, const char *id);
 
-/* The queue priority of a request, 0 first: by account, then by route. */
+/* Returns the queue priority of a request, 0 first: by account, then by route. */
 guint identity_priority (guint account_priority, const Route *route);
 
 #endif
