--- a/daemon/src/operator/metrics-listener.h
+++ b/daemon/src/operator/metrics-listener.h
@@ -7,7 +7,7 @@
 
 #include "node.h"
 
-/* NULL, with `error` set, when the address cannot be bound. */
+/* Returns NULL and sets `error` if the address cannot be bound. */
 MetricsListener *metrics_listener_create (Node *node, GError **error);
 void metrics_listener_destroy (MetricsListener *listener);
 
--- a/daemon/src/operator/metrics.h
+++ b/daemon/src/operator/metrics.h
@@ -65,7 +65,7 @@
                            Outcome outcome,
                            gint64 took_us);
 
-/* All metrics in the Prometheus text format; the caller frees them. */
+/* Returns all metrics in the Prometheus text format; the caller frees them. */
 GString *metrics_text (const Metrics *metrics);
 
 #endif
--- a/daemon/src/operator/operators.h
+++ b/daemon/src/operator/operators.h
@@ -16,7 +16,7 @@
 
 #include "node.h"
 
-/* NULL, with `error` set, when the operators' address cannot be bound. */
+/* Returns NULL and sets `error` if the operators' address cannot be bound. */
 Operators *operators_create (Node *node, GError **error);
 void operators_destroy (Operators *operators);
 
--- a/daemon/src/operator/readiness.h
+++ b/daemon/src/operator/readiness.h
@@ -7,7 +7,7 @@
 
 #include "node.h"
 
-/* NULL, with `error` set, when the address cannot be bound. */
+/* Returns NULL and sets `error` if the address cannot be bound. */
 Readiness *readiness_create (Node *node, GError **error);
 void readiness_destroy (Readiness *readiness);
 
--- a/daemon/src/operator/status.c
+++ b/daemon/src/operator/status.c
@@ -8,7 +8,7 @@
 #include "quarantine-node.h"
 #include "sidecar.h"
 
-/* This node's verdict on a target, in one word. */
+/* Returns this node's verdict on a target, in one word. */
 static const char *
 verdict_of (const Target *target, const TargetStatus *status)
 {
--- a/daemon/src/operator/status.h
+++ b/daemon/src/operator/status.h
@@ -11,14 +11,16 @@
 
 void status_answer (Node *node, HttpRequest *request);
 void status_answer_events (Node *node, HttpRequest *request);
-/* The accounts that are counted here by name, or the one that the query argument "id"
-   names, with its number of keys. */
+/* Answers with the accounts that are counted here by name or, with the query argument
+   "id", with that account and its number of keys. */
 void status_answer_accounts (Node *node, HttpRequest *request);
 
-/* The quarantine's entries: requests that were running when targets crashed. */
+/* Answers with the quarantine's entries: requests that were running when targets
+   crashed. */
 void status_answer_quarantine (Node *node, HttpRequest *request);
 
-/* All metrics of the node in the Prometheus text format; the caller frees the text. */
+/* Returns all metrics of the node in the Prometheus text format; the caller frees the
+   text. */
 char *status_metrics_text (const Node *node);
 
 #endif
--- a/daemon/src/operator/traffic.h
+++ b/daemon/src/operator/traffic.h
@@ -18,8 +18,8 @@
   TRAFFIC_VIEWS,      /* comparisons of membership views */
   TRAFFIC_SESSIONS,   /* connection handshakes, and pings */
   TRAFFIC_CONFIG,     /* heads and parts of the configuration */
-  TRAFFIC_REQUESTS,   /* requests to a sidecar that accepted them */
-  TRAFFIC_REFUSED,    /* requests to a sidecar that refused them */
+  TRAFFIC_REQUESTS,   /* requests to sidecars that did not refuse them */
+  TRAFFIC_REFUSED,    /* requests to sidecars that refused them */
   TRAFFIC_ANSWERS,    /* a sidecar's answers, refusals included */
   TRAFFIC_CONTROL,    /* queries on attempts, cancellations, notices of leaving VMs */
   TRAFFIC_ALLOWANCES, /* lending calls for client accounts, and their answers */
