--- a/daemon/src/node/node-run.h
+++ b/daemon/src/node/node-run.h
@@ -8,7 +8,7 @@
 
 typedef struct NodeRun NodeRun;
 
-/* NULL, with `error` set, when an address cannot be bound. All arguments are borrowed
+/* Returns NULL and sets `error` if an address cannot be bound. All arguments are borrowed
    for the lifetime of the node. */
 NodeRun *node_run_create (const Settings *settings,
                           const struct Adapter *adapter,
@@ -36,7 +36,7 @@
  */
 void node_run_reload (NodeRun *run, const Settings *settings);
 
-/* The number of requests that the stop has aborted. */
+/* Returns the number of requests that the stop has aborted. */
 guint node_run_aborted (const NodeRun *run);
 
 #endif
--- a/daemon/src/node/node.c
+++ b/daemon/src/node/node.c
@@ -114,8 +114,8 @@
   run->cut += ingress_abort (run->node.ingress);
 }
 
-/* Time until the next check. A check falls on the moment from which the node may abort
-   its callers' requests, rather than up to STOP_CHECK_US later. */
+/* Returns the time until the next check. A check falls on the moment from which the node
+   may abort its callers' requests, rather than up to STOP_CHECK_US later. */
 static gint64
 next_check_us (const NodeRun *run)
 {
@@ -178,7 +178,7 @@
     node_run_stop (run);
 }
 
-/* The first changed setting found that takes effect only after a restart, or NULL. */
+/* Returns a changed setting that takes effect only after a restart, or NULL. */
 static const char *
 needs_restart (const Settings *held, const Settings *fresh)
 {
