--- a/daemon/src/quarantine/quarantine-node.c
+++ b/daemon/src/quarantine/quarantine-node.c
@@ -244,8 +244,8 @@
     }
   if (any)
     metrics_add (quarantine->node->metrics, METRIC_QUARANTINE_NEWS, 1);
-  /* A sender whose list differs gets entries with the next message to it, which is the
-     answer to this one. */
+  /* A sender whose list differs gets a part of this node's list with the next message to
+     it, which is the answer to this one if it was a probe. */
   if (message->quarantine_digest != quarantine_digest (quarantine->list))
     g_hash_table_add (quarantine->behind, g_strdup (message->from));
   else
