--- a/daemon/src/request/dialect-own.c
+++ b/daemon/src/request/dialect-own.c
@@ -77,8 +77,8 @@
   http_headers_add (headers, DEADLINE_HEADER, left);
 }
 
-/* Whether the target echoed the identifier of another attempt, whose answer this then is.
-   Targets need not echo it. */
+/* Whether the answer belongs to another attempt, because the target has echoed that
+   attempt's identifier. Targets need not echo any. */
 static gboolean
 is_crossed (const sw_attempt *attempt, const HttpResult *result)
 {
--- a/daemon/src/request/dialect.h
+++ b/daemon/src/request/dialect.h
@@ -25,7 +25,7 @@
   gint64 wait_us; /* how long the caller waits; 0 if it does not say */
 } CallerRequest;
 
-/* The result of a request, as the caller is told it. */
+/* The result of a request, as reported to the caller. */
 typedef struct
 {
   Outcome outcome;
@@ -45,7 +45,7 @@
   void (*add_origin) (const Settings *settings, const char *account, GArray *headers);
   /* Adds the sidecar's headers for one attempt, with `left_us` until its deadline. */
   void (*add_attempt) (const sw_submit_args *args, gint64 left_us, GArray *headers);
-  /* Whether an attempt is one at the request with this identifier. */
+  /* Whether an attempt carries the request with this identifier. */
   gboolean (*carries) (const sw_submit_args *args, const char *id);
   /* Classifies the target's answer: sets result and reason, and for SW_DONE the answer,
      whose strings and body are borrowed from `result`. */
--- a/daemon/src/request/exchange.c
+++ b/daemon/src/request/exchange.c
@@ -70,8 +70,8 @@
   exchange_free (exchange);
 }
 
-/* Cancels the attempts when the caller hangs up. The sidecar lets an unrepeatable request
-   that has begun run on. */
+/* Cancels the attempts when the caller hangs up. An unrepeatable request that has already
+   started continues at its sidecar. */
 static void
 on_caller_gone (gpointer data)
 {
--- a/daemon/src/request/start-queue.c
+++ b/daemon/src/request/start-queue.c
@@ -2,10 +2,12 @@
 
 #include "config-sync.h"
 
-/* When 353 nodes start at once, each has its configuration within 0.4 s; a store that
-   does not answer is queried again every half second. */
+/* How long after its start a node queues requests. When 353 nodes start at once, each has
+   its configuration within 0.4 s; a store that does not answer is queried again every
+   half second. */
 #define OPEN_US SECOND_US
-/* The interval of checks whether the configuration is there or OPEN_US is over. */
+/* Interval at which the queue checks whether the configuration has arrived or OPEN_US is
+   over. */
 #define LOOK_US (10 * MS_US)
 
 typedef struct
