--- a/daemon/src/target/registry.h
+++ b/daemon/src/target/registry.h
@@ -11,8 +11,8 @@
  *
  * NAME is the target's identifier. It is new with each start, unless "born" (the time of
  * the start in Unix milliseconds) distinguishes the starts. A call answered with 200 is
- * in effect. A heartbeat that is out of date, from an earlier start or with an old
- * sequence number, is answered with 200 and ignored.
+ * in effect, except that a heartbeat from an earlier start or with an old sequence number
+ * is ignored.
  */
 #ifndef DAEMON_REGISTRY_H
 #define DAEMON_REGISTRY_H
--- a/daemon/src/target/sidecar.h
+++ b/daemon/src/target/sidecar.h
@@ -25,8 +25,8 @@
 void
 sidecar_fence (Sidecar *sidecar, RpcConn *conn, guint32 xid, const sw_fence_args *args);
 
-/* Cancels an attempt whose result is no longer needed. It does not start if it has not
-   yet; if it runs, it is aborted only if it is repeatable. */
+/* Cancels an attempt whose result is no longer needed. An attempt that has not started
+   is refused; a running one is aborted only if it is repeatable. */
 void sidecar_cancel (Sidecar *sidecar, const sw_cancel_args *args);
 
 /* Fills in the node's name, the sidecar's incarnation and its clock reading. The name is
