--- a/daemon/src/account/allowances.c
+++ b/daemon/src/account/allowances.c
@@ -162,7 +162,9 @@
     }
 }
 
-/* No lender can be called for the next `wait_us`. */
+/* Handles that no lender can be called for the next `wait_us`. Refuses all waiting
+   requests as exceeded if a lender has answered lately, else those that have waited too
+   long as unknown. */
 static void
 give_up (Queue *queue, gint64 wait_us)
 {
