--- a/daemon/src/operator/metrics.h
+++ b/daemon/src/operator/metrics.h
@@ -23,8 +23,8 @@
   METRIC_SIDECAR_REFUSED,
   METRIC_SIDECAR_FAILED,
   METRIC_TARGET_REFUSED,
-  METRIC_TARGETS_ENDED,      /* crashes, with requests running */
-  METRIC_ENDED_REQUESTS,     /* requests that ran there */
+  METRIC_TARGETS_ENDED,      /* crashes while requests ran */
+  METRIC_ENDED_REQUESTS,     /* requests that ran at crashing targets */
   METRIC_QUARANTINED,        /* requests put in quarantine for crashing targets */
   METRIC_QUARANTINE_REFUSED, /* requests not sent because of it */
   METRIC_QUARANTINE_TRIALS,
