--- a/daemon/src/account/allowances.c
+++ b/daemon/src/account/allowances.c
@@ -15,7 +15,7 @@
 /* How long a lender that did not answer is skipped. */
 #define LENDER_SILENT_SKIP_US (500 * MS_US)
 /* How long a node that answers that it is no lender is skipped. Its view of the fleet
-   differs from ours, and the views converge within a probe. */
+   differs from ours, and the views converge within the time of one probe. */
 #define NOT_LENDER_SKIP_US (50 * MS_US)
 /* While no lender can be called, a request waits for half of its latency objective: the
    nodes of a fleet that has just started know each other within a second. */
@@ -162,7 +162,9 @@
     }
 }
 
-/* No lender can be called for the next `wait_us`. */
+/* Handles that no lender can be called for the next `wait_us`. Refuses all waiting
+   requests as exceeded if a lender has answered lately, else those that have waited too
+   long as unknown. */
 static void
 give_up (Queue *queue, gint64 wait_us)
 {
--- a/daemon/src/member/gossip.h
+++ b/daemon/src/member/gossip.h
@@ -18,8 +18,8 @@
    the next probe. */
 void gossip_push (Gossip *gossip);
 
-/* Starts to send the quarantine's updates to a few members at intervals, until each entry
-   has been sent often enough. */
+/* Starts to send the quarantine's updates to a few members at intervals, until each has
+   been sent often enough. */
 void gossip_schedule_quarantine_news (Gossip *gossip);
 
 /* A node's address as discovery reports it. */
