--- a/daemon/src/account/account-stats.c
+++ b/daemon/src/account/account-stats.c
@@ -75,7 +75,7 @@
 /* Removes idle accounts. Their counts are added to the others', their histograms are
    lost. */
 static void
-forget (AccountStats *stats)
+evict_idle_accounts (AccountStats *stats)
 {
   gint64 now = clock_now (stats->clock);
   GHashTableIter iter;
@@ -120,7 +120,7 @@
 {
   Counts *counts;
 
-  forget (stats);
+  evict_idle_accounts (stats);
   counts = ensure_counts (stats, account);
   counts->events[event]++;
   counts->weight++;
--- a/daemon/src/request/exchange-choice.c
+++ b/daemon/src/request/exchange-choice.c
@@ -216,7 +216,7 @@
   gboolean found;
   DispatchStep step;
 
-  if (exchange_hold_back (exchange, &verdict))
+  if (exchange_refuse_quarantined (exchange, &verdict))
     return;
   attempt = attempt_create (exchange);
   if (exchange->attempt)
--- a/daemon/src/request/exchange-private.h
+++ b/daemon/src/request/exchange-private.h
@@ -114,7 +114,8 @@
 
 /* Answers instead of making another attempt, if the verdict forbids one. Returns FALSE if
    it does not; if TRUE, the exchange has been freed. */
-gboolean exchange_hold_back (Exchange *exchange, const QuarantineVerdict *verdict);
+gboolean exchange_refuse_quarantined (Exchange *exchange,
+                                      const QuarantineVerdict *verdict);
 
 /* Returns the target for a trial of a quarantined request, or NULL. Ingresses that see
    the same healthy targets choose the same one. */
--- a/daemon/src/request/exchange-quarantine.c
+++ b/daemon/src/request/exchange-quarantine.c
@@ -55,7 +55,7 @@
 }
 
 gboolean
-exchange_hold_back (Exchange *exchange, const QuarantineVerdict *verdict)
+exchange_refuse_quarantined (Exchange *exchange, const QuarantineVerdict *verdict)
 {
   gboolean held = verdict->state == QUARANTINE_HELD;
   /* Two or more targets have crashed while they ran such requests, and a target may have
