--- a/core/tests/test-allowance.c
+++ b/core/tests/test-allowance.c
@@ -62,8 +62,8 @@
     }
 }
 
-/* A flood. In every other 5 s the lent requests are used as late as possible, at the end
-   of their holding time. */
+/* Under a flood all available requests are lent. In every other span of 5 s they are used
+   as late as possible, at the end of their holding time. */
 static void
 test_a_flood_stays_within_the_bound (void **state)
 {
@@ -275,7 +275,7 @@
       assert_true (allowance_cache_take (cache, ACCOUNT));
     }
   assert_in_range (allowance_cache_prefetch_count (cache, ACCOUNT), 9, 13);
-  /* Nothing more is borrowed while over half of the wanted stock is left. */
+  /* Nothing is prefetched while more than half of the wanted stock is left. */
   allowance_cache_add (cache, ACCOUNT, 10, clock_now (clock));
   assert_int_equal (allowance_cache_prefetch_count (cache, ACCOUNT), 0);
   allowance_cache_destroy (cache);
--- a/core/tests/test-config.c
+++ b/core/tests/test-config.c
@@ -239,8 +239,8 @@
   g_string_free (intent, TRUE);
 }
 
-/* An evacuation stops all targets of a hall and no others; taking the hall back restores
-   them. */
+/* An evacuation takes all targets of a hall out of service and no others. Taking the hall
+   back restores them. */
 static void
 test_a_hall_is_evacuated_and_taken_back (void **state)
 {
--- a/core/tests/test-dispatch.c
+++ b/core/tests/test-dispatch.c
@@ -320,7 +320,8 @@
   while (retry_budget_withdraw (budget))
     retries++;
   assert_int_equal (retries, 20);
-  /* No later window with these first attempts allows more, nor does one without any. */
+  /* A later window that contains these first attempts allows no more retries, and neither
+     does one without any first attempt. */
   clock_advance (clock, WINDOW_US / 2);
   assert_false (retry_budget_has (budget));
   clock_advance (clock, WINDOW_US);
--- a/core/tests/test-evacuations.c
+++ b/core/tests/test-evacuations.c
@@ -37,8 +37,8 @@
   evacuations_destroy (evacuations);
 }
 
-/* A reading that changes nothing still supersedes older ones: here an evacuation from
-   before it arrives late, and has been taken back since. */
+/* A reading that changes nothing still supersedes older ones. Here an evacuation from
+   before that reading arrives late, after it has been lifted. */
 static void
 test_an_unchanged_reading_supersedes_older_ones (void **state)
 {
--- a/core/tests/test-fingerprint.c
+++ b/core/tests/test-fingerprint.c
@@ -107,8 +107,8 @@
   assert_int_not_equal (a.body, b.body);
 }
 
-/* A request with a query has a second fingerprint, of the path alone. It is the same for
-   every query, and the only one of a request without a query. */
+/* A request with a query has two fingerprints. The second is that of the path alone,
+   which is equal for every query. A request without a query has only that one. */
 static void
 test_the_path_alone_has_a_fingerprint (void **state)
 {
--- a/core/tests/test-placement.c
+++ b/core/tests/test-placement.c
@@ -11,8 +11,8 @@
 #define SLACK_US (800 * MS_US)
 #define QUESTIONS_MAX 100u
 
-/* Refuses at every step, with `reasons` in turn, and counts the targets asked at each
-   step in `asked`. Returns their total. */
+/* Refuses the request at every step, with `reasons` in turn, and counts in `asked` the
+   targets asked at each step. Returns the total. */
 static guint
 refuse_all (Placement *placement,
             const Reason *reasons,
--- a/core/tests/test-quarantine.c
+++ b/core/tests/test-quarantine.c
@@ -1,6 +1,6 @@
 /*
  * Tests which requests are quarantined, at which nodes, and when they are released. The
- * nodes exchange news only when a test does so explicitly.
+ * nodes exchange updates only when a test makes them do so.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,13 +15,14 @@
 #define SERVICE 7u
 #define VERSION 1u
 #define NEWS_MAX 64u
-/* The machine has been up for a month. News of an entry without a trial once carried the
-   age of time 0, which peers rejected as implausible, so that they did not quarantine the
-   request. On machines that had just been started the fault did not show. */
+/* The machine has been up for a month. Updates of an entry without a trial once carried
+   the age of time 0, which peers rejected as implausible, so that they did not quarantine
+   the request. The fault did not show on machines that had just been started. */
 #define UPTIME_US (30 * 24 * 3600 * SECOND_US)
-/* Between crashes that one request causes: it runs for some 65 ms before each. */
+/* The time between crashes that one request causes, which runs for some 65 ms before
+   each. */
 #define CRASH_GAP_US (100 * MS_US)
-/* Until a quarantine is in force: QUARANTINE_SETTLE_US, with a margin. */
+/* The time until a quarantine is in force: QUARANTINE_SETTLE_US, with a margin. */
 #define SETTLED_US (400 * MS_US)
 
 typedef struct
@@ -87,7 +88,7 @@
     quarantine_merge (fixture->nodes[to], &news[i]);
 }
 
-/* Exchanges news until every node has all of it. */
+/* Exchanges updates until every node has all of them. */
 static void
 exchange_all_news (Fixture *fixture)
 {
@@ -155,7 +156,7 @@
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_DOUBTED);
 }
 
-/* A crash counts once at a node that hears of it repeatedly, from several others. */
+/* A node that hears of a crash repeatedly, from several others, counts it once. */
 static void
 test_repeated_news_counts_once (void **state)
 {
@@ -386,7 +387,7 @@
     assert_int_equal (state_at (fixture, i, &sound), QUARANTINE_FREE);
 }
 
-/* News from before an answer is ignored when it arrives after it. */
+/* Updates from before an answer are ignored when they arrive after it. */
 static void
 test_news_from_before_an_answer_is_ignored (void **state)
 {
@@ -403,7 +404,7 @@
   assert_int_equal (state_at (fixture, 2, &sound), QUARANTINE_FREE);
 }
 
-/* A restarted or partitioned node lacks entries, which its digest shows. */
+/* A restarted or partitioned node lacks entries, so that its digest differs. */
 static void
 test_a_restarted_node_learns_all_entries (void **state)
 {
@@ -532,8 +533,8 @@
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_TRIAL);
 }
 
-/* Another version of the software may not crash under the request, so one trial is due at
-   once unless two have been made. */
+/* Another version of the software may not crash under the request. So one trial is due at
+   once, unless two have been made already. */
 static void
 test_a_new_version_may_be_tried (void **state)
 {
@@ -583,7 +584,7 @@
   assert_int_equal (quarantine_next_news (fixture->nodes[0], news, NEWS_MAX), 0);
 }
 
-/* News with values that no node sends is ignored. */
+/* Updates with values that no node sends are ignored. */
 static void
 test_implausible_news_is_ignored (void **state)
 {
--- a/core/tests/test-settings.c
+++ b/core/tests/test-settings.c
@@ -73,8 +73,8 @@
   json_faults_destroy (faults);
 }
 
-/* A supervisor may start to count the grace up to 0.7 s after the signal, as was seen.
-   The cut must be in the last sixth of such a grace too. */
+/* A supervisor was seen to start counting the grace period up to 0.7 s after the signal.
+   The abort must fall in the last sixth of such a grace period too. */
 static void
 test_a_stop_aborts_in_the_last_sixth_of_a_late_grace (void **state)
 {
--- a/core/tests/test-succession.c
+++ b/core/tests/test-succession.c
@@ -96,7 +96,7 @@
   teardown (&fixture);
 }
 
-/* A start's announcement that it ends may come before any of its heartbeats. */
+/* A start may announce its end before any of its heartbeats arrives. */
 static void
 test_an_end_before_any_heartbeat_is_remembered (void **state)
 {
--- a/core/tests/test-suspension.c
+++ b/core/tests/test-suspension.c
@@ -122,8 +122,8 @@
   clock_destroy (clock);
 }
 
-/* A node that heard nobody during a suspension considers none of the others dead; the one
-   probe in flight makes at most its subject suspect. */
+/* A node that heard nobody during a suspension declares none of the others dead. Only the
+   subject of the probe in flight may become suspect. */
 static void
 test_the_others_are_not_declared_dead (void **state)
 {
--- a/core/tests/test-warmup.c
+++ b/core/tests/test-warmup.c
@@ -171,7 +171,7 @@
   assert_in_range (started, 1, COLD_STARTS_MAX_PER_S);
   assert_true (queued > 0);
   assert_false (admission_is_free (admission));
-  /* The limit that ingresses hear of leaves no room. */
+  /* The limit reported to ingresses leaves no room. */
   assert_int_equal (admission_limit (admission), started);
   for (guint ms = 0; ms < 1000; ms++)
     {
