--- a/bench/tests/test-quarantine-net.c
+++ b/bench/tests/test-quarantine-net.c
@@ -45,7 +45,8 @@
   check (QUARANTINE_GONE, 353, 5);
 }
 
-/* The 300 requests of a rack that crashed compete for the 64 entries of the list. */
+/* The 300 requests of a rack that crashed compete for the 64 entries of the list, and
+   none of them is quarantined. */
 static void
 test_quarantine_is_in_time_during_a_rack_crash (void **state)
 {
--- a/io/tests/test-loop.c
+++ b/io/tests/test-loop.c
@@ -1,4 +1,5 @@
-/* Timers fire in order and none is lost, on a manual clock; long turns are reported. */
+/* Tests on a manual clock that timers fire in order and none is lost, and that long
+   iterations of the loop are reported. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -92,7 +93,7 @@
   clock_destroy (clock);
 }
 
-/* The cost of one turn, and the report of it. */
+/* The cost of one iteration of the loop, and the report of it. */
 typedef struct
 {
   Fixture base;
@@ -127,14 +128,16 @@
     loop_timer_start (turns->base.timer, 0);
 }
 
-/* Runs one turn with the given cost, and one without any. */
+/* Runs one iteration with the given cost, and one without any. */
 static Turns
 run_turns (gint64 cpu_us, gint64 took_us)
 {
   Turns turns = { .cpu_us = cpu_us, .took_us = took_us };
 
   turns.base.clock = clock_create_manual (0);
-  clock_set_step (turns.base.clock, 1); /* the second timer is due after the first turn */
+  /* Each reading advances the clock, so that the restarted timer is due after the first
+     iteration. */
+  clock_set_step (turns.base.clock, 1);
   turns.base.loop = loop_create (turns.base.clock);
   turns.base.timer = loop_timer_create (turns.base.loop, on_work, &turns);
   loop_set_turn_func (turns.base.loop, on_turn, &turns);
--- a/io/tests/test-slow-readers.c
+++ b/io/tests/test-slow-readers.c
@@ -155,7 +155,7 @@
   thread = g_thread_new ("callers", callers, &fixture);
   loop_run (fixture.loop);
   seen = g_thread_join (thread);
-  /* One answer more than fits is held at most; the other callers are refused at once. */
+  /* At most one answer more than fits is held; the other callers are refused at once. */
   assert_in_range (seen->cut, 1, HELD_MAX / ANSWER_BYTES + 1);
   assert_int_equal (seen->refused, READERS - seen->cut);
   assert_int_equal (fixture.full, seen->refused);
