--- a/tests/proc/fleet.h
+++ b/tests/proc/fleet.h
@@ -82,21 +82,23 @@
                     const char *const *headers,
                     const char *body);
 
-/* Calls a node with `id` as X-Request-Id; NULL sends no body. The caller frees it. */
+/* Calls a node's callers' listener with `id` as X-Request-Id; a NULL `body` sends none.
+   The caller frees the answer. */
 Answer *fleet_call (Fleet *fleet,
                     guint node,
                     const char *method,
                     const char *path,
                     const char *id,
                     const char *body);
-/* Calls a node by POST with a ticket, or with "new" to get one. The caller frees the
-   answer. */
+/* Sends a POST to a node's callers' listener with a ticket, or with "new" to get one. The
+   caller frees the answer. */
 Answer *fleet_call_ticket (Fleet *fleet,
                            guint node,
                            const char *path,
                            const char *id,
                            const char *ticket,
                            const char *body);
+/* Calls a node's operators' API with FLEET_TOKEN. The caller frees the answer. */
 Answer *fleet_call_operators (
     Fleet *fleet, guint node, const char *method, const char *path, const char *body);
 void answer_free (Answer *answer);
--- a/tests/proc/test-requests.c
+++ b/tests/proc/test-requests.c
@@ -110,7 +110,7 @@
     }
 }
 
-/* Compares the outcomes that callers were told with what the targets ran. */
+/* Checks the outcomes reported to callers against the runs at the targets. */
 static void
 check_outcomes_against_runs (Fleet *fleet, guint targets, const char *list)
 {
@@ -141,9 +141,9 @@
       *space = '\0';
       ran = GPOINTER_TO_UINT (g_hash_table_lookup (runs, lines[i]));
       if (strcmp (space + 1, "not-run") == 0 && ran > 0)
-        fail_msg ("%s was told 'not run' and ran", lines[i]);
+        fail_msg ("%s was reported as not run, but ran", lines[i]);
       if (strcmp (space + 1, "done") == 0 && ran != 1)
-        fail_msg ("%s was told 'done' and ran %u times", lines[i], ran);
+        fail_msg ("%s was reported as done, but ran %u times", lines[i], ran);
       told[strcmp (space + 1, "done") == 0      ? 0
            : strcmp (space + 1, "not-run") == 0 ? 1
                                                 : 2]++;
