--- a/core/tests/test-quarantine.c
+++ b/core/tests/test-quarantine.c
@@ -1,6 +1,6 @@
 /*
  * Tests which requests are quarantined, at which nodes, and when they are released. The
- * nodes exchange updates only when a test does so explicitly.
+ * nodes exchange updates only when a test makes them do so.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,13 +15,14 @@
 #define SERVICE 7u
 #define VERSION 1u
 #define NEWS_MAX 64u
-/* The machine has been up for a month. An update of an entry without a trial once carried
+/* The machine has been up for a month. Updates of an entry without a trial once carried
    the age of time 0, which peers rejected as implausible, so that they did not quarantine
-   the request. On machines that had just been started the fault did not show. */
+   the request. The fault did not show on machines that had just been started. */
 #define UPTIME_US (30 * 24 * 3600 * SECOND_US)
-/* Between crashes that one request causes: it runs for some 65 ms before each. */
+/* The time between crashes that one request causes, which runs for some 65 ms before
+   each. */
 #define CRASH_GAP_US (100 * MS_US)
-/* Until a quarantine is in force: QUARANTINE_SETTLE_US, with a margin. */
+/* The time until a quarantine is in force: QUARANTINE_SETTLE_US, with a margin. */
 #define SETTLED_US (400 * MS_US)
 
 typedef struct
@@ -155,7 +156,7 @@
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_DOUBTED);
 }
 
-/* A crash counts once at a node that hears of it repeatedly, from several others. */
+/* A node that hears of a crash repeatedly, from several others, counts it once. */
 static void
 test_repeated_news_counts_once (void **state)
 {
@@ -403,7 +404,7 @@
   assert_int_equal (state_at (fixture, 2, &sound), QUARANTINE_FREE);
 }
 
-/* A restarted or partitioned node lacks entries, which its digest shows. */
+/* A restarted or partitioned node lacks entries, so that its digest differs. */
 static void
 test_a_restarted_node_learns_all_entries (void **state)
 {
@@ -532,8 +533,8 @@
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_TRIAL);
 }
 
-/* Another version of the software may not crash under the request, so one trial is due at
-   once unless two have been made. */
+/* Another version of the software may not crash under the request. So one trial is due at
+   once, unless two have been made already. */
 static void
 test_a_new_version_may_be_tried (void **state)
 {
