--- a/core/tests/test-settings.c
+++ b/core/tests/test-settings.c
@@ -94,7 +94,7 @@
 }
 
 static void
-test_a_stop_may_yield_from_the_last_sixth_on (void **state)
+test_a_stop_may_abort_callers_from_the_last_sixth_on (void **state)
 {
   static const double graces_s[] = { 1, 1.5, 6, 8, 10, 30 };
   JsonFaults *faults = json_faults_create ();
@@ -177,7 +177,7 @@
     cmocka_unit_test (test_settings_report_every_fault),
     cmocka_unit_test (test_a_short_grace_leaves_time_for_the_last_answers),
     cmocka_unit_test (test_a_stop_aborts_in_the_last_sixth_of_a_late_grace),
-    cmocka_unit_test (test_a_stop_may_yield_from_the_last_sixth_on),
+    cmocka_unit_test (test_a_stop_may_abort_callers_from_the_last_sixth_on),
     cmocka_unit_test (test_plausible_settings_are_accepted),
     cmocka_unit_test (test_a_rejected_value_is_reported_with_its_bounds),
   };
--- a/core/tests/test-target-starts.c
+++ b/core/tests/test-target-starts.c
@@ -32,7 +32,7 @@
 
 /* Delivers a heartbeat, one interval after the previous one. */
 static TargetStartsResult
-beat (Fixture *fixture, const char *name, gint64 sequence)
+deliver_heartbeat (Fixture *fixture, const char *name, gint64 sequence)
 {
   clock_advance (fixture->clock, INTERVAL_US);
   return target_starts_heartbeat (fixture->succession, name, sequence);
@@ -43,10 +43,10 @@
 {
   Fixture fixture = setup ();
 
-  assert_int_equal (beat (&fixture, "old", 1), TARGET_STARTS_NEW);
-  assert_int_equal (beat (&fixture, "old", 2), TARGET_STARTS_CURRENT);
-  assert_int_equal (beat (&fixture, "old", 2), TARGET_STARTS_STALE);
-  assert_int_equal (beat (&fixture, "new", 1), TARGET_STARTS_NEW);
+  assert_int_equal (deliver_heartbeat (&fixture, "old", 1), TARGET_STARTS_NEW);
+  assert_int_equal (deliver_heartbeat (&fixture, "old", 2), TARGET_STARTS_CURRENT);
+  assert_int_equal (deliver_heartbeat (&fixture, "old", 2), TARGET_STARTS_STALE);
+  assert_int_equal (deliver_heartbeat (&fixture, "new", 1), TARGET_STARTS_NEW);
   assert_string_equal (target_starts_current (fixture.succession), "new");
   teardown (&fixture);
 }
@@ -57,12 +57,12 @@
 {
   Fixture fixture = setup ();
 
-  beat (&fixture, "old", 1);
-  beat (&fixture, "new", 1);
-  assert_int_equal (beat (&fixture, "old", 2), TARGET_STARTS_STALE);
-  assert_int_equal (beat (&fixture, "new", 2), TARGET_STARTS_CURRENT);
-  assert_int_equal (beat (&fixture, "old", 3), TARGET_STARTS_STALE);
-  assert_int_equal (beat (&fixture, "new", 3), TARGET_STARTS_CURRENT);
+  deliver_heartbeat (&fixture, "old", 1);
+  deliver_heartbeat (&fixture, "new", 1);
+  assert_int_equal (deliver_heartbeat (&fixture, "old", 2), TARGET_STARTS_STALE);
+  assert_int_equal (deliver_heartbeat (&fixture, "new", 2), TARGET_STARTS_CURRENT);
+  assert_int_equal (deliver_heartbeat (&fixture, "old", 3), TARGET_STARTS_STALE);
+  assert_int_equal (deliver_heartbeat (&fixture, "new", 3), TARGET_STARTS_CURRENT);
   assert_string_equal (target_starts_current (fixture.succession), "new");
   teardown (&fixture);
 }
@@ -74,12 +74,12 @@
 {
   Fixture fixture = setup ();
 
-  beat (&fixture, "alive", 7);
-  assert_int_equal (beat (&fixture, "crashed", 3), TARGET_STARTS_NEW);
-  assert_int_equal (beat (&fixture, "alive", 8), TARGET_STARTS_STALE);
-  assert_int_equal (beat (&fixture, "alive", 9), TARGET_STARTS_NEW);
-  assert_int_equal (beat (&fixture, "alive", 10), TARGET_STARTS_CURRENT);
-  assert_int_equal (beat (&fixture, "crashed", 4), TARGET_STARTS_STALE);
+  deliver_heartbeat (&fixture, "alive", 7);
+  assert_int_equal (deliver_heartbeat (&fixture, "crashed", 3), TARGET_STARTS_NEW);
+  assert_int_equal (deliver_heartbeat (&fixture, "alive", 8), TARGET_STARTS_STALE);
+  assert_int_equal (deliver_heartbeat (&fixture, "alive", 9), TARGET_STARTS_NEW);
+  assert_int_equal (deliver_heartbeat (&fixture, "alive", 10), TARGET_STARTS_CURRENT);
+  assert_int_equal (deliver_heartbeat (&fixture, "crashed", 4), TARGET_STARTS_STALE);
   teardown (&fixture);
 }
 
@@ -88,11 +88,11 @@
 {
   Fixture fixture = setup ();
 
-  beat (&fixture, "old", 1);
+  deliver_heartbeat (&fixture, "old", 1);
   target_starts_note_end (fixture.succession, "old");
-  assert_int_equal (beat (&fixture, "new", 1), TARGET_STARTS_NEW);
+  assert_int_equal (deliver_heartbeat (&fixture, "new", 1), TARGET_STARTS_NEW);
   for (gint64 sequence = 2; sequence < 10; sequence++)
-    assert_int_equal (beat (&fixture, "old", sequence), TARGET_STARTS_STALE);
+    assert_int_equal (deliver_heartbeat (&fixture, "old", sequence), TARGET_STARTS_STALE);
   teardown (&fixture);
 }
 
@@ -103,7 +103,7 @@
   Fixture fixture = setup ();
 
   target_starts_note_end (fixture.succession, "old");
-  assert_int_equal (beat (&fixture, "old", 5), TARGET_STARTS_STALE);
+  assert_int_equal (deliver_heartbeat (&fixture, "old", 5), TARGET_STARTS_STALE);
   assert_null (target_starts_current (fixture.succession));
   teardown (&fixture);
 }
@@ -116,17 +116,18 @@
   g_autofree char *first = target_start_name ("i-1", 1000);
   g_autofree char *second = target_start_name ("i-1", 2000);
 
-  beat (&fixture, first, 7);
-  assert_int_equal (beat (&fixture, second, 1), TARGET_STARTS_NEW);
+  deliver_heartbeat (&fixture, first, 7);
+  assert_int_equal (deliver_heartbeat (&fixture, second, 1), TARGET_STARTS_NEW);
   for (gint64 sequence = 8; sequence < 20; sequence++)
     {
       clock_advance (fixture.clock, 4 * SECOND_US);
-      assert_int_equal (beat (&fixture, first, sequence), TARGET_STARTS_STALE);
+      assert_int_equal (deliver_heartbeat (&fixture, first, sequence),
+                        TARGET_STARTS_STALE);
     }
-  assert_int_equal (beat (&fixture, second, 1), TARGET_STARTS_STALE);
-  assert_int_equal (beat (&fixture, second, 2), TARGET_STARTS_CURRENT);
+  assert_int_equal (deliver_heartbeat (&fixture, second, 1), TARGET_STARTS_STALE);
+  assert_int_equal (deliver_heartbeat (&fixture, second, 2), TARGET_STARTS_CURRENT);
   /* A heartbeat without a start time does not take over either. */
-  assert_int_equal (beat (&fixture, "i-1", 50), TARGET_STARTS_STALE);
+  assert_int_equal (deliver_heartbeat (&fixture, "i-1", 50), TARGET_STARTS_STALE);
   target_starts_note_end (fixture.succession, first);
   assert_string_equal (target_starts_current (fixture.succession), second);
   teardown (&fixture);
--- a/io/tests/test-loop.c
+++ b/io/tests/test-loop.c
@@ -150,7 +150,7 @@
 }
 
 static void
-test_only_long_turns_are_reported (void **state)
+test_only_long_iterations_are_reported (void **state)
 {
   Turns calm = run_turns (0, LOOP_TURN_LONG_US / 2);
   Turns busy = run_turns (LOOP_TURN_LONG_CPU_US, 0);
@@ -171,7 +171,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_timer_due_between_two_readings_is_not_lost),
     cmocka_unit_test (test_timers_fire_by_time_and_can_be_moved_and_stopped),
-    cmocka_unit_test (test_only_long_turns_are_reported),
+    cmocka_unit_test (test_only_long_iterations_are_reported),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
