--- a/bench/src/allowance-net-load.c
+++ b/bench/src/allowance-net-load.c
@@ -3,7 +3,7 @@
 #include <math.h>
 
 const char *
-allowance_way_name (AllowanceWay way)
+allowance_scheme_name (AllowanceScheme way)
 {
   static const char *const names[] = { "equal", "no-wait", "lent" };
 
--- a/bench/src/allowance-net-private.h
+++ b/bench/src/allowance-net-private.h
@@ -39,7 +39,7 @@
 {
   char *name;
   guint hall;
-  AllowanceBook *book;
+  AllowanceBuckets *buckets;
   AllowanceCache *cache;
   AllowanceTerms terms;
   gint64 started_us;
--- a/bench/src/allowance-net.c
+++ b/bench/src/allowance-net.c
@@ -48,9 +48,9 @@
 void
 sim_start_node (Sim *sim, SimNode *node)
 {
-  allowance_book_destroy (node->book);
+  allowance_buckets_destroy (node->buckets);
   allowance_cache_destroy (node->cache);
-  node->book = allowance_book_create (&sim_rule, sim->clock);
+  node->buckets = allowance_buckets_create (&sim_rule, sim->clock);
   node->cache = allowance_cache_create (sim->clock);
   node->started_us = clock_now (sim->clock);
   node->waiting = 0;
@@ -95,7 +95,7 @@
 {
   for (guint i = 0; i < sim->it->nodes; i++)
     {
-      allowance_book_destroy (sim->nodes[i].book);
+      allowance_buckets_destroy (sim->nodes[i].buckets);
       allowance_cache_destroy (sim->nodes[i].cache);
       g_free (sim->nodes[i].name);
     }
@@ -156,8 +156,8 @@
     own |= &sim->nodes[places[i]] == lender;
   if (!own || clock_now (sim->clock) - lender->started_us < STARTUP_US)
     return FALSE;
-  *grant = allowance_book_lend (lender->book, "acme", &lender->terms,
-                                seen_share (sim, lender) / count, since, wanted);
+  *grant = allowance_buckets_lend (lender->buckets, "acme", &lender->terms,
+                                   seen_share (sim, lender) / count, since, wanted);
   return TRUE;
 }
 
@@ -268,8 +268,8 @@
   count_reference (sim);
   if (sim->it->way == ALLOWANCE_EQUAL)
     {
-      grant = allowance_book_lend (node->book, "acme", &node->terms, 1.0 / sim->it->nodes,
-                                   node->started_us, 1);
+      grant = allowance_buckets_lend (node->buckets, "acme", &node->terms,
+                                      1.0 / sim->it->nodes, node->started_us, 1);
       if (grant.lent)
         let_through (sim, node);
       else
--- a/bench/src/allowance-net.h
+++ b/bench/src/allowance-net.h
@@ -12,8 +12,8 @@
   ALLOWANCE_EQUAL,   /* each node has an equal share; no messages */
   ALLOWANCE_NO_WAIT, /* a few lenders; a node without a lent request refuses at once */
   ALLOWANCE_LENT /* a few lenders; a node without a lent request waits for an answer */
-} AllowanceWay;
-#define ALLOWANCE_WAYS 3u
+} AllowanceScheme;
+#define ALLOWANCE_SCHEMES 3u
 
 typedef enum
 {
@@ -31,7 +31,7 @@
 
 typedef struct
 {
-  AllowanceWay way;
+  AllowanceScheme way;
   AllowancePattern pattern;
   guint nodes;
   guint seed;
@@ -46,7 +46,7 @@
   double bytes;           /* per second and node, in each direction */
 } AllowanceResult;
 
-const char *allowance_way_name (AllowanceWay way);
+const char *allowance_scheme_name (AllowanceScheme way);
 const char *allowance_pattern_name (AllowancePattern pattern);
 
 AllowanceResult allowance_net_run (const AllowanceCase *it);
--- a/bench/src/bench-allowance.c
+++ b/bench/src/bench-allowance.c
@@ -20,15 +20,15 @@
           "refused", "own", "waited ms", "bytes/s node");
   for (guint pattern = 0; pattern < ALLOWANCE_PATTERNS; pattern++)
     for (gsize size = 0; size < G_N_ELEMENTS (sizes); size++)
-      for (guint way = 0; way < ALLOWANCE_WAYS; way++)
+      for (guint way = 0; way < ALLOWANCE_SCHEMES; way++)
         {
           AllowanceCase it = { way, pattern, sizes[size], 1 };
           AllowanceResult result = allowance_net_run (&it);
 
           printf ("%-8s %-8s %6u %7.3f %8.4f %6.3f %9.0f %12.1f\n",
-                  allowance_way_name (way), allowance_pattern_name (pattern), sizes[size],
-                  result.worst, result.refused, result.own, result.longest_wait_ms,
-                  result.bytes);
+                  allowance_scheme_name (way), allowance_pattern_name (pattern),
+                  sizes[size], result.worst, result.refused, result.own,
+                  result.longest_wait_ms, result.bytes);
         }
   return 0;
 }
@@ -44,10 +44,10 @@
     place++;
   it->pattern = place;
   place = 0;
-  while (place < ALLOWANCE_WAYS && strcmp (allowance_way_name (place), way) != 0)
+  while (place < ALLOWANCE_SCHEMES && strcmp (allowance_scheme_name (place), way) != 0)
     place++;
   it->way = place;
-  return it->pattern < ALLOWANCE_PATTERNS && it->way < ALLOWANCE_WAYS;
+  return it->pattern < ALLOWANCE_PATTERNS && it->way < ALLOWANCE_SCHEMES;
 }
 
 static int
--- a/bench/src/bench-quarantine.c
+++ b/bench/src/bench-quarantine.c
@@ -48,8 +48,8 @@
   double seconds = (double)QUARANTINE_SPAN_US / 1e6;
 
   printf ("%-6s %-6s %5u last-ms %6.0f bytes-a-second %6.0f most %6.0f innocent %u\n",
-          quarantine_way_name (it->way), quarantine_pattern_name (it->pattern), it->nodes,
-          (double)worst.last_us / 1e3, worst.mean_bytes / seconds,
+          quarantine_scheme_name (it->way), quarantine_pattern_name (it->pattern),
+          it->nodes, (double)worst.last_us / 1e3, worst.mean_bytes / seconds,
           worst.worst_bytes / seconds, worst.innocent);
 }
 
@@ -124,7 +124,7 @@
 {
   for (guint size = 0; size < G_N_ELEMENTS (sizes); size++)
     for (guint pattern = 0; pattern < QUARANTINE_PATTERNS; pattern++)
-      for (guint way = 0; way < QUARANTINE_WAYS; way++)
+      for (guint way = 0; way < QUARANTINE_SCHEMES; way++)
         {
           QuarantineCase it = { way, pattern, sizes[size].nodes, sizes[size].halls, 0 };
 
--- a/bench/src/member-net.c
+++ b/bench/src/member-net.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 
 #define STEP_US (50 * MS_US)
-#define NEWS_MAX 550u
+#define UPDATES_MAX 550u
 /* The fixed part of a gossip message: RPC header, token digest, generation, view digest,
    sender, counts, and the IP and UDP headers. */
 #define MESSAGE_BYTES (40u + 8u + 48u + 28u)
@@ -95,32 +95,33 @@
 }
 
 static void
-take (Members *members, const MemberNews *news)
+take (Members *members, const MemberUpdate *update)
 {
-  MemberDelta delta = members_delta (news->member);
+  MemberDelta delta = members_delta (update->member);
 
-  if (news->delta)
+  if (update->delta)
     members_merge_delta (members, &delta);
   else
-    members_merge (members, news->member);
+    members_merge (members, update->member);
 }
 
 /* Sends a message with news. Returns TRUE if it was delivered and merged. */
 static gboolean
-send_news (MemberNet *net, guint from, guint to)
+send_updates (MemberNet *net, guint from, guint to)
 {
   NetNode *sender = &net->nodes[from];
   g_autofree char *name = g_strdup_printf ("node-%u", to);
-  const GArray *news = members_next_news (sender->members, name, NEWS_MAX);
+  const GArray *updates = members_next_updates (sender->members, name, UPDATES_MAX);
 
   sender->messages++;
   count_sent (net, from, to, MESSAGE_BYTES);
-  for (guint i = 0; i < news->len; i++)
-    count_sent (net, from, to, members_news_size (&g_array_index (news, MemberNews, i)));
+  for (guint i = 0; i < updates->len; i++)
+    count_sent (net, from, to,
+                members_update_size (&g_array_index (updates, MemberUpdate, i)));
   if (!passes (net, from, to))
     return FALSE;
-  for (guint i = 0; i < news->len; i++)
-    take (net->nodes[to].members, &g_array_index (news, MemberNews, i));
+  for (guint i = 0; i < updates->len; i++)
+    take (net->nodes[to].members, &g_array_index (updates, MemberUpdate, i));
   return TRUE;
 }
 
@@ -153,9 +154,9 @@
   count_sent (net, i, with, sizeof buckets);
   for (guint j = 0; j < differing->len; j++)
     {
-      MemberNews whole = { g_ptr_array_index (differing, j), FALSE };
+      MemberUpdate whole = { g_ptr_array_index (differing, j), FALSE };
 
-      count_sent (net, with, i, members_news_size (&whole));
+      count_sent (net, with, i, members_update_size (&whole));
       members_merge (node->members, g_ptr_array_index (differing, j));
     }
 }
@@ -163,7 +164,7 @@
 static gboolean
 exchange (MemberNet *net, guint from, guint to)
 {
-  if (!send_news (net, from, to) || !send_news (net, to, from))
+  if (!send_updates (net, from, to) || !send_updates (net, to, from))
     return FALSE;
   repair (net, from, to);
   return TRUE;
@@ -184,7 +185,8 @@
       return;
     }
   subject = (guint)atoi (action->subject + sizeof "node-" - 1);
-  if (send_news (net, i, to) && exchange (net, to, subject) && send_news (net, to, i))
+  if (send_updates (net, i, to) && exchange (net, to, subject) &&
+      send_updates (net, to, i))
     members_answered (node->members, action->sequence, name);
 }
 
--- a/bench/src/member-net.h
+++ b/bench/src/member-net.h
@@ -14,7 +14,7 @@
   guint hall;
   guint starts;
   guint64
-      sent_bytes; /* estimated: news by members_news_size, and a constant per message */
+      sent_bytes; /* estimated: news by members_update_size, and a constant per message */
   guint64 other_hall_bytes; /* the part of sent_bytes that went to other halls */
   guint64 messages;
 } NetNode;
--- a/bench/src/overload.c
+++ b/bench/src/overload.c
@@ -184,7 +184,7 @@
 {
   Admission *admission = sim->targets[request->target].admission;
   RetryKind kind = dispatch_retry_kind (request->dispatch);
-  AdmissionOrder order = { request->priority, request->deadline_us, 0 };
+  AdmissionParams order = { request->priority, request->deadline_us, 0 };
   Request *displaced;
 
   if (!retry_budget_allows (sim->budget, kind))
--- a/bench/src/quarantine-net.c
+++ b/bench/src/quarantine-net.c
@@ -11,7 +11,7 @@
 #define FIRST_STEPS 10u
 #define URGENT_STEPS 100u
 #define REPEAT_STEPS 600u
-#define NEWS_MAX 4u
+#define UPDATES_MAX 4u
 /* Sizes by wire/switchmill.x: a message with its RPC header, token digest, sender, view
    digests and the IP and UDP headers; one entry without its crashes; one crash. */
 #define MESSAGE_BYTES 128u
@@ -37,7 +37,7 @@
   guint step;
   guint to;
   guint count;
-  QuarantineNews news[NEWS_MAX];
+  QuarantineUpdate updates[UPDATES_MAX];
 } Message;
 
 typedef struct
@@ -64,9 +64,9 @@
 static const Fingerprint deadly = { 0xdeadull << 48, 1 };
 
 const char *
-quarantine_way_name (QuarantineWay way)
+quarantine_scheme_name (QuarantineScheme way)
 {
-  static const char *const names[QUARANTINE_WAYS] = { "spread", "home" };
+  static const char *const names[QUARANTINE_SCHEMES] = { "spread", "home" };
 
   return names[way];
 }
@@ -92,7 +92,7 @@
   gsize bytes = MESSAGE_BYTES;
 
   for (guint i = 0; i < message->count; i++)
-    bytes += ENTRY_BYTES + END_BYTES * message->news[i].end_count;
+    bytes += ENTRY_BYTES + END_BYTES * message->updates[i].end_count;
   return bytes;
 }
 
@@ -120,10 +120,11 @@
   SimNode *own = &sim->nodes[node];
   QuarantineUrgency urgency = quarantine_urgency (own->list);
 
-  if (urgency == QUARANTINE_NEWS_NONE ||
-      (own->spread_step > 0 && (urgency != QUARANTINE_NEWS_URGENT || own->spread_urgent)))
+  if (urgency == QUARANTINE_UPDATES_NONE ||
+      (own->spread_step > 0 &&
+       (urgency != QUARANTINE_UPDATES_URGENT || own->spread_urgent)))
     return;
-  own->spread_urgent = urgency == QUARANTINE_NEWS_URGENT;
+  own->spread_urgent = urgency == QUARANTINE_UPDATES_URGENT;
   own->spread_step = sim->step + FIRST_STEPS;
 }
 
@@ -133,7 +134,8 @@
   Message *message = g_new0 (Message, 1);
 
   message->to = to;
-  message->count = quarantine_next_news (sim->nodes[from].list, message->news, NEWS_MAX);
+  message->count =
+      quarantine_next_updates (sim->nodes[from].list, message->updates, UPDATES_MAX);
   send_message (sim, from, message);
 }
 
@@ -155,8 +157,8 @@
   SimNode *own = &sim->nodes[node];
 
   own->spread_step = 0;
-  own->spread_urgent = quarantine_urgency (own->list) == QUARANTINE_NEWS_URGENT;
-  if (quarantine_urgency (own->list) == QUARANTINE_NEWS_NONE)
+  own->spread_urgent = quarantine_urgency (own->list) == QUARANTINE_UPDATES_URGENT;
+  if (quarantine_urgency (own->list) == QUARANTINE_UPDATES_NONE)
     return;
   for (guint i = 0; i < NEAR_FANOUT; i++)
     tell (sim, node, pick_random_node (sim, node, TRUE));
@@ -174,7 +176,7 @@
   if (!to->runs)
     return;
   for (guint i = 0; i < message->count; i++)
-    any |= quarantine_merge (to->list, &message->news[i]);
+    any |= quarantine_merge (to->list, &message->updates[i]);
   if (any)
     schedule_spread (sim, message->to);
 }
@@ -193,7 +195,7 @@
 {
   guint32 id = ++sim->fresh * 2654435761u;
 
-  if (sim->it->way == QUARANTINE_WAY_SPREAD)
+  if (sim->it->way == QUARANTINE_SCHEME_SPREAD)
     {
       quarantine_note_end (sim->nodes[node].list, id, 1, 1, work);
       schedule_spread (sim, node);
@@ -207,12 +209,12 @@
 
         report->to = home_of (sim, request, home);
         report->count = 1;
-        report->news[0] = (QuarantineNews){ .request = *request,
-                                            .service = 1,
-                                            .held_age_us = -1,
-                                            .cleared_age_us = -1,
-                                            .end_count = 1 };
-        report->news[0].end_ids[0] = id;
+        report->updates[0] = (QuarantineUpdate){ .request = *request,
+                                                 .service = 1,
+                                                 .held_age_us = -1,
+                                                 .cleared_age_us = -1,
+                                                 .end_count = 1 };
+        report->updates[0].end_ids[0] = id;
         send_message (sim, node, report);
       }
 }
@@ -237,11 +239,11 @@
 static void
 discard_suspect_news (Sim *sim, guint node)
 {
-  QuarantineNews news[NEWS_MAX];
+  QuarantineUpdate updates[UPDATES_MAX];
 
   if (quarantine_check (sim->nodes[node].list, &deadly).state < QUARANTINE_TRIAL)
-    while (quarantine_urgency (sim->nodes[node].list) != QUARANTINE_NEWS_NONE)
-      quarantine_next_news (sim->nodes[node].list, news, NEWS_MAX);
+    while (quarantine_urgency (sim->nodes[node].list) != QUARANTINE_UPDATES_NONE)
+      quarantine_next_updates (sim->nodes[node].list, updates, UPDATES_MAX);
 }
 
 static void
@@ -250,7 +252,7 @@
   SimNode *own = &sim->nodes[node];
 
   quarantine_tick (own->list);
-  if (sim->it->way == QUARANTINE_WAY_HOME)
+  if (sim->it->way == QUARANTINE_SCHEME_HOME)
     discard_suspect_news (sim, node);
   if (!own->held_us && quarantine_check (own->list, &deadly).state >= QUARANTINE_TRIAL)
     own->held_us = clock_now (sim->clock);
@@ -270,7 +272,7 @@
     return;
   answer = g_new0 (Message, 1);
   answer->to = node;
-  answer->count = quarantine_next_part (asked->list, answer->news, NEWS_MAX);
+  answer->count = quarantine_next_part (asked->list, answer->updates, UPDATES_MAX);
   send_message (sim, other, answer);
 }
 
--- a/bench/src/quarantine-net.h
+++ b/bench/src/quarantine-net.h
@@ -15,10 +15,10 @@
 
 typedef enum
 {
-  QUARANTINE_WAY_SPREAD,
-  QUARANTINE_WAY_HOME,
-  QUARANTINE_WAYS
-} QuarantineWay;
+  QUARANTINE_SCHEME_SPREAD,
+  QUARANTINE_SCHEME_HOME,
+  QUARANTINE_SCHEMES
+} QuarantineScheme;
 
 typedef enum
 {
@@ -33,7 +33,7 @@
 
 typedef struct
 {
-  QuarantineWay way;
+  QuarantineScheme way;
   QuarantinePattern pattern;
   guint nodes;
   guint halls;
@@ -51,7 +51,7 @@
 
 #define QUARANTINE_SPAN_US (5 * SECOND_US)
 
-const char *quarantine_way_name (QuarantineWay way);
+const char *quarantine_scheme_name (QuarantineScheme way);
 const char *quarantine_pattern_name (QuarantinePattern pattern);
 
 QuarantineResult quarantine_net_run (const QuarantineCase *it);
--- a/bench/tests/test-quarantine-net.c
+++ b/bench/tests/test-quarantine-net.c
@@ -15,7 +15,7 @@
 {
   for (guint32 seed = 1; seed <= 3; seed++)
     {
-      QuarantineCase it = { QUARANTINE_WAY_SPREAD, pattern, nodes, halls, seed };
+      QuarantineCase it = { QUARANTINE_SCHEME_SPREAD, pattern, nodes, halls, seed };
       QuarantineResult result = quarantine_net_run (&it);
 
       assert_in_range (result.last_us, 1, CONTACT_US);
--- a/core/include/core/admission.h
+++ b/core/include/core/admission.h
@@ -44,7 +44,7 @@
   gint64 deadline_us;
   gint64 start_by_us;   /* latest start, after which it is refused; 0 for none */
   gint64 on_time_by_us; /* latest start for an answer within the objective; 0 for none */
-} AdmissionOrder;
+} AdmissionParams;
 
 /* Reserves a slot for a request that has not arrived yet; FALSE if none is free. The
    caller gives it back by admission_release, whether the request comes or not. */
@@ -59,7 +59,7 @@
 
 /* Requests a slot, or a place in the queue. */
 AdmissionAnswer
-admission_offer (Admission *admission, gpointer item, const AdmissionOrder *order);
+admission_offer (Admission *admission, gpointer item, const AdmissionParams *order);
 
 /* After ADMISSION_QUEUED: returns the item that was removed from a full queue to make
    room, or NULL. The next call returns NULL. */
--- a/core/include/core/allowance.h
+++ b/core/include/core/allowance.h
@@ -82,7 +82,7 @@
                                 const char *lenders[ALLOWANCE_LENDERS]);
 
 /* The buckets of one node, for the accounts of which it is a lender. */
-typedef struct AllowanceBook AllowanceBook;
+typedef struct AllowanceBuckets AllowanceBuckets;
 
 typedef struct
 {
@@ -91,27 +91,29 @@
 } AllowanceGrant;
 
 /* `clock` is borrowed. */
-AllowanceBook *allowance_book_create (const AllowanceRule *rule, Clock *clock);
-void allowance_book_destroy (AllowanceBook *book);
+AllowanceBuckets *allowance_buckets_create (const AllowanceRule *rule, Clock *clock);
+void allowance_buckets_destroy (AllowanceBuckets *buckets);
 
 /*
  * Leases up to `wanted` requests out of `share` of an account's allowance. `since_us` is
  * the time from which on this node alone leases that share: a new bucket is empty at that
  * time.
  */
-AllowanceGrant allowance_book_lend (AllowanceBook *book,
-                                    const char *account,
-                                    const AllowanceTerms *terms,
-                                    double share,
-                                    gint64 since_us,
-                                    guint wanted);
+AllowanceGrant allowance_buckets_lend (AllowanceBuckets *buckets,
+                                       const char *account,
+                                       const AllowanceTerms *terms,
+                                       double share,
+                                       gint64 since_us,
+                                       guint wanted);
 
 /* Returns whether this node is a lender of the account; `data` is the caller's. */
 typedef gboolean (*AllowanceIsLender) (const char *account, gpointer data);
 
 /* Removes the buckets of accounts of which this node is no longer a lender, and those
    that have not been used for long enough to be full. */
-void allowance_book_prune (AllowanceBook *book, AllowanceIsLender is_own, gpointer data);
+void allowance_buckets_prune (AllowanceBuckets *buckets,
+                              AllowanceIsLender is_own,
+                              gpointer data);
 
 /* The leases that one node holds, by account. */
 typedef struct AllowanceCache AllowanceCache;
--- a/core/include/core/latency.h
+++ b/core/include/core/latency.h
@@ -17,16 +17,16 @@
 } LatencyFit;
 
 /* Fits by route. */
-typedef struct LatencyBook LatencyBook;
+typedef struct LatencyStats LatencyStats;
 
-LatencyBook *latency_book_create (void);
-void latency_book_destroy (LatencyBook *book);
+LatencyStats *latency_stats_create (void);
+void latency_stats_destroy (LatencyStats *stats);
 
 /* Adds a good answer on a route, as latency_route_id identifies it. */
-void latency_book_add (LatencyBook *book, guint32 route, gint64 took_us);
+void latency_stats_add (LatencyStats *stats, guint32 route, gint64 took_us);
 
 /* Returns the fit of recent answers on a route; without samples for an unknown route. */
-LatencyFit latency_book_fit (const LatencyBook *book, guint32 route);
+LatencyFit latency_stats_fit (const LatencyStats *stats, guint32 route);
 
 /* Returns a route's id, a hash of its name. */
 guint32 latency_route_id (const char *name);
--- a/core/include/core/members.h
+++ b/core/include/core/members.h
@@ -28,7 +28,7 @@
   const char *hall;
   const char *address;
   guint64 incarnation; /* random, new with each start */
-  guint32 epoch;       /* raised only by the member itself, to overrule others */
+  guint32 epoch;       /* raised only by the member itself, to refute others */
   MemberStatus status;
   guint32 serial;         /* version of payload and state, within one epoch */
   guint32 payload_serial; /* the serial at which the payload last changed */
@@ -57,7 +57,7 @@
 {
   const Member *member;
   gboolean delta; /* send only the MemberDelta */
-} MemberNews;
+} MemberUpdate;
 
 typedef struct Members Members;
 
@@ -135,15 +135,15 @@
 
 /*
  * Returns the updates to send in a message to `to` (may be NULL), at most `max_bytes` by
- * the estimate of members_news_size, as an array of MemberNews that is borrowed until the
- * next call. The updates of self and of third members count as sent. Self comes first,
- * then `to` itself if this view holds it suspect, dead, left or in another incarnation,
- * so that it can overrule that.
+ * the estimate of members_update_size, as an array of MemberUpdate that is borrowed until
+ * the next call. The updates of self and of third members count as sent. Self comes
+ * first, then `to` itself if this view holds it suspect, dead, left or in another
+ * incarnation, so that it can refute that.
  */
-const GArray *members_next_news (Members *members, const char *to, gsize max_bytes);
+const GArray *members_next_updates (Members *members, const char *to, gsize max_bytes);
 
 /* Estimates the bytes that an update takes on the wire. */
-gsize members_news_size (const MemberNews *news);
+gsize members_update_size (const MemberUpdate *update);
 
 /* Notes the digest that the node `with` has sent. Returns TRUE when the caller should
    compare views with it now. */
--- a/core/include/core/quarantine.h
+++ b/core/include/core/quarantine.h
@@ -182,25 +182,26 @@
   guint32 epoch;
   guint32 turn;
   guint32 trials;
-} QuarantineNews;
+} QuarantineUpdate;
 
 typedef enum
 {
-  QUARANTINE_NEWS_NONE,
-  QUARANTINE_NEWS_NORMAL, /* of first ends, most of which lead to no quarantine */
-  QUARANTINE_NEWS_URGENT  /* of requests that are quarantined, were just cleared, or may
-                             soon be quarantined */
+  QUARANTINE_UPDATES_NONE,
+  QUARANTINE_UPDATES_NORMAL, /* of first ends, most of which lead to no quarantine */
+  QUARANTINE_UPDATES_URGENT /* of requests that are quarantined, were just cleared, or may
+                            soon be quarantined */
 } QuarantineUrgency;
 
 /* Takes the updates for one message, at most `max` and the most urgent first, and returns
    how many. Each change is sent a limited number of times. */
-guint quarantine_next_news (Quarantine *quarantine, QuarantineNews *news, guint max);
+guint
+quarantine_next_updates (Quarantine *quarantine, QuarantineUpdate *updates, guint max);
 QuarantineUrgency quarantine_urgency (const Quarantine *quarantine);
 /* Takes up to `max` entries whether or not they have been sent before, the next part of
    the list with each call. */
-guint quarantine_next_part (Quarantine *quarantine, QuarantineNews *news, guint max);
+guint quarantine_next_part (Quarantine *quarantine, QuarantineUpdate *updates, guint max);
 /* Merges a received update. Returns TRUE if it changed the list. */
-gboolean quarantine_merge (Quarantine *quarantine, const QuarantineNews *news);
+gboolean quarantine_merge (Quarantine *quarantine, const QuarantineUpdate *update);
 /* Returns a digest of the list, equal on nodes with equal lists; 0 for an empty one. */
 guint32 quarantine_digest (const Quarantine *quarantine);
 
--- a/core/include/core/retry.h
+++ b/core/include/core/retry.h
@@ -12,11 +12,11 @@
 /* How an attempt counts in the budget of the service that it is sent to. */
 typedef enum
 {
-  RETRY_NONE,      /* first attempt for an external caller: adds to the budget */
-  RETRY_CALL,      /* first attempt of a call made by a target: adds nothing */
+  RETRY_FIRST_ATTEMPT, /* first attempt for an external caller: adds to the budget */
+  RETRY_CALL,          /* first attempt of a call made by a target: adds nothing */
   RETRY_INHERITED, /* first attempt of a call that a target makes while it serves a retry:
                       counts as a retry, but is always allowed */
-  RETRY_AGAIN,     /* a further attempt: allowed if the budget has a retry left */
+  RETRY_FURTHER_ATTEMPT, /* a further attempt: allowed if the budget has a retry left */
   RETRY_KINDS
 } RetryKind;
 
--- a/core/include/core/target-starts.h
+++ b/core/include/core/target-starts.h
@@ -10,8 +10,8 @@
  * and the current one is silent. A start that has announced its end never returns, nor
  * does a start of the same identifier with an earlier start time.
  */
-#ifndef CORE_SUCCESSION_H
-#define CORE_SUCCESSION_H
+#ifndef CORE_TARGET_STARTS_H
+#define CORE_TARGET_STARTS_H
 
 #include <core/clock.h>
 
@@ -26,7 +26,7 @@
 
 /* `clock` is borrowed. */
 TargetStarts *target_starts_create (Clock *clock);
-void target_starts_destroy (TargetStarts *succession);
+void target_starts_destroy (TargetStarts *target_starts);
 
 /*
  * Returns the name of a start: the identifier alone if `born`, its start time in Unix
@@ -39,12 +39,12 @@
 /* Processes a heartbeat of the start `name`; `sequence` rises with each heartbeat of a
    start. */
 TargetStartsResult
-target_starts_heartbeat (TargetStarts *succession, const char *name, gint64 sequence);
+target_starts_heartbeat (TargetStarts *target_starts, const char *name, gint64 sequence);
 
 /* Records that a start has announced its end. */
-void target_starts_note_end (TargetStarts *succession, const char *name);
+void target_starts_note_end (TargetStarts *target_starts, const char *name);
 
 /* Returns the name of the current start; NULL before the first heartbeat. */
-const char *target_starts_current (const TargetStarts *succession);
+const char *target_starts_current (const TargetStarts *target_starts);
 
 #endif
--- a/core/src/config/intent-accounts.c
+++ b/core/src/config/intent-accounts.c
@@ -23,19 +23,20 @@
 static void
 index_key (Intent *intent, const AccessKey *key)
 {
-  GArray *digests = g_hash_table_lookup (intent->holdings, key->account);
+  GArray *digests = g_hash_table_lookup (intent->keys_by_account, key->account);
 
   if (!digests)
     {
       digests = g_array_new (FALSE, FALSE, CONFIG_KEY_DIGEST_LEN);
-      g_hash_table_insert (intent->holdings, key->account, digests);
+      g_hash_table_insert (intent->keys_by_account, key->account, digests);
     }
   g_array_append_val (digests, key->digest);
 }
 
 /*
- * Adds the key digests of an account in the base to `holdings`, or those of all accounts
- * if `account` is NULL. The scan covers every shard, because keys are sharded by digest.
+ * Adds the key digests of an account in the base to `keys_by_account`, or those of all
+ * accounts if `account` is NULL. The scan covers every shard, because keys are sharded by
+ * digest.
  */
 static void
 index_keys (Intent *intent, const char *account)
@@ -67,19 +68,20 @@
   GRefString *interned;
   const GArray *digests;
 
-  if (!intent->holdings)
-    intent->holdings = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
-                                              (GDestroyNotify)g_array_unref);
+  if (!intent->keys_by_account)
+    intent->keys_by_account = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
+                                                     (GDestroyNotify)g_array_unref);
   if (!intent->all_keys_indexed && intent->key_scans++ >= KEY_SCANS_MAX)
     {
-      g_hash_table_remove_all (intent->holdings);
+      g_hash_table_remove_all (intent->keys_by_account);
       index_keys (intent, NULL);
       intent->all_keys_indexed = TRUE;
     }
   interned = g_ref_string_new_intern (account);
-  if (!intent->all_keys_indexed && !g_hash_table_contains (intent->holdings, account))
+  if (!intent->all_keys_indexed &&
+      !g_hash_table_contains (intent->keys_by_account, account))
     index_keys (intent, interned);
-  digests = g_hash_table_lookup (intent->holdings, account);
+  digests = g_hash_table_lookup (intent->keys_by_account, account);
   g_ref_string_release (interned);
   return digests;
 }
--- a/core/src/config/intent-private.h
+++ b/core/src/config/intent-private.h
@@ -13,13 +13,13 @@
   const Snapshot *base;
   JsonFaults *faults;
   JsonView *view;
-  GHashTable *services;      /* name → Service, changed or added; NULL if removed */
-  GHashTable *routes;        /* shard key → GPtrArray of Route, copied from the base */
-  GHashTable *accounts;      /* shard key → GPtrArray of Account */
-  GHashTable *keys;          /* shard key → GPtrArray of AccessKey */
-  GHashTable *holdings;      /* account id → GArray of its key digests in the base */
-  gboolean all_keys_indexed; /* `holdings` covers all accounts of the base */
-  guint key_scans;           /* look-ups of one account's keys before that */
+  GHashTable *services; /* name → Service, changed or added; NULL if removed */
+  GHashTable *routes;   /* shard key → GPtrArray of Route, copied from the base */
+  GHashTable *accounts; /* shard key → GPtrArray of Account */
+  GHashTable *keys;     /* shard key → GPtrArray of AccessKey */
+  GHashTable *keys_by_account; /* account id → GArray of its key digests in the base */
+  gboolean all_keys_indexed;   /* `keys_by_account` covers all accounts of the base */
+  guint key_scans;             /* look-ups of one account's keys before that */
 } Intent;
 
 /*
--- a/core/src/config/intent.c
+++ b/core/src/config/intent.c
@@ -389,6 +389,6 @@
   g_hash_table_unref (intent.routes);
   g_hash_table_unref (intent.accounts);
   g_hash_table_unref (intent.keys);
-  g_clear_pointer (&intent.holdings, g_hash_table_unref);
+  g_clear_pointer (&intent.keys_by_account, g_hash_table_unref);
   return texts;
 }
--- a/core/src/config/settings.c
+++ b/core/src/config/settings.c
@@ -19,7 +19,7 @@
 #define STOP_MARGIN_MIN_US 300000
 #define STOP_MARGIN_MAX_US 700000
 /* Running requests may be cut in the last sixth of the grace period, but not earlier. */
-#define STOP_CUT_DIVISOR 6
+#define STOP_ABORT_DIVISOR 6
 #define GRACE_MAX_S 3600.0
 /* Default window over which retries are counted, as the requirements set it, and the
    longest allowed. */
@@ -151,7 +151,7 @@
   settings->linger_us = 1000 * json_view_int (limits, "linger_ms", 0, 3600000, 0);
   settings->stop_us = grace_us > 0 ? grace_us - stop_margin_us (grace_us) : stop_us;
   settings->cut_after_us =
-      grace_us > 0 ? MIN (settings->stop_us, grace_us - grace_us / STOP_CUT_DIVISOR)
+      grace_us > 0 ? MIN (settings->stop_us, grace_us - grace_us / STOP_ABORT_DIVISOR)
                    : stop_us;
   /* Requests accepted at the end of the linger period need time to be answered. */
   settings->linger_us = MIN (settings->linger_us, settings->stop_us / 2);
--- a/core/src/health/detector.c
+++ b/core/src/health/detector.c
@@ -36,7 +36,7 @@
   guint doublings_max; /* maximum doublings of `hold_us` on relapses */
   guint trials;        /* consecutive good trials that it takes to recover */
   guint first_trials;  /* likewise while no trial has failed */
-} DetectorLife;
+} DetectorPolicy;
 
 /*
  * Strict: a target that breaks off an exchange stays ejected until trials decide, and
@@ -44,7 +44,7 @@
  * targets of the reference deployment fail five of six requests. Within a spell it takes
  * two good trials in a row.
  */
-static const DetectorLife lives[DETECTION_COUNT] = {
+static const DetectorPolicy policies[DETECTION_COUNT] = {
   [DETECTION_OFF] = { FALSE, 5 * SECOND_US, 2, 6, 5, 5 },
   [DETECTION_CAREFUL] = { FALSE, 5 * SECOND_US, 2, 6, 5, 5 },
   [DETECTION_QUICK] = { FALSE, 5 * SECOND_US, 2, 6, 5, 5 },
@@ -53,7 +53,7 @@
 
 struct Detector
 {
-  const DetectorLife *life;
+  const DetectorPolicy *policy;
   const DetectorOps *ops;
   DetectorBounds bounds;
   Clock *clock;
@@ -92,7 +92,7 @@
   Detector *detector = g_new0 (Detector, 1);
 
   detector->ops = kinds[kind];
-  detector->life = &lives[setting];
+  detector->policy = &policies[setting];
   detector->bounds = detector->ops->bounds[setting];
   detector->clock = clock;
   detector->healthy_since_us = clock_now (clock) - FLAP_US;
@@ -148,7 +148,8 @@
 static gint64
 hold_us (const Detector *detector)
 {
-  return detector->life->hold_us << MIN (detector->flaps, detector->life->doublings_max);
+  return detector->policy->hold_us
+         << MIN (detector->flaps, detector->policy->doublings_max);
 }
 
 static void
@@ -240,7 +241,7 @@
     }
   detector->good_trials++;
   needed =
-      detector->failed_trials ? detector->life->trials : detector->life->first_trials;
+      detector->failed_trials ? detector->policy->trials : detector->policy->first_trials;
   if (detector->good_trials >= needed &&
       now - detector->sick_since_us >= hold_us (detector) / 2)
     recover (detector, 0);
@@ -268,7 +269,7 @@
     }
   add_evidence (detector, &input);
   update_baseline (detector, sample);
-  if (sample->broken && detector->life->eject_on_break)
+  if (sample->broken && detector->policy->eject_on_break)
     detector->evidence.failures =
         MAX (detector->evidence.failures, detector->bounds.failure_bound);
   severity = weigh (detector);
@@ -284,7 +285,7 @@
 detector_severity (Detector *detector)
 {
   if (detector->severity > 0 && clock_now (detector->clock) - detector->sick_since_us >=
-                                    detector->life->idle_holds * hold_us (detector))
+                                    detector->policy->idle_holds * hold_us (detector))
     recover (detector, PROBATION_SHARE);
   return detector->severity;
 }
--- a/core/src/health/target-starts.c
+++ b/core/src/health/target-starts.c
@@ -98,65 +98,65 @@
 TargetStarts *
 target_starts_create (Clock *clock)
 {
-  TargetStarts *succession = g_new0 (TargetStarts, 1);
+  TargetStarts *target_starts = g_new0 (TargetStarts, 1);
 
-  succession->clock = clock;
-  g_queue_init (&succession->over);
-  return succession;
+  target_starts->clock = clock;
+  g_queue_init (&target_starts->over);
+  return target_starts;
 }
 
 void
-target_starts_destroy (TargetStarts *succession)
+target_starts_destroy (TargetStarts *target_starts)
 {
-  if (!succession)
+  if (!target_starts)
     return;
-  if (succession->present)
-    start_free (succession->present);
-  g_queue_clear_full (&succession->over, start_free);
-  g_free (succession);
+  if (target_starts->present)
+    start_free (target_starts->present);
+  g_queue_clear_full (&target_starts->over, start_free);
+  g_free (target_starts);
 }
 
 const char *
-target_starts_current (const TargetStarts *succession)
+target_starts_current (const TargetStarts *target_starts)
 {
-  return succession->present ? succession->present->name : NULL;
+  return target_starts->present ? target_starts->present->name : NULL;
 }
 
 static Start *
-find_past_start (TargetStarts *succession, const char *name)
+find_past_start (TargetStarts *target_starts, const char *name)
 {
-  for (GList *item = succession->over.head; item; item = item->next)
+  for (GList *item = target_starts->over.head; item; item = item->next)
     if (strcmp (((Start *)item->data)->name, name) == 0)
       return item->data;
   return NULL;
 }
 
 static void
-add_past_start (TargetStarts *succession, Start *start)
+add_past_start (TargetStarts *target_starts, Start *start)
 {
   start->beats = 0;
-  g_queue_push_tail (&succession->over, start);
-  if (g_queue_get_length (&succession->over) > PAST_STARTS_MAX)
-    start_free (g_queue_pop_head (&succession->over));
+  g_queue_push_tail (&target_starts->over, start);
+  if (g_queue_get_length (&target_starts->over) > PAST_STARTS_MAX)
+    start_free (g_queue_pop_head (&target_starts->over));
 }
 
 static void
-make_current (TargetStarts *succession, Start *start, gint64 sequence)
+make_current (TargetStarts *target_starts, Start *start, gint64 sequence)
 {
-  if (succession->present)
-    add_past_start (succession, succession->present);
+  if (target_starts->present)
+    add_past_start (target_starts, target_starts->present);
   start->sequence = sequence;
-  succession->present = start;
-  succession->last_heartbeat_us = clock_now (succession->clock);
+  target_starts->present = start;
+  target_starts->last_heartbeat_us = clock_now (target_starts->clock);
 }
 
 /* Returns whether a later start of the same identifier is known. */
 static gboolean
-is_over (const TargetStarts *succession, const char *name)
+is_over (const TargetStarts *target_starts, const char *name)
 {
-  if (succession->present && is_earlier (name, succession->present->name))
+  if (target_starts->present && is_earlier (name, target_starts->present->name))
     return TRUE;
-  for (GList *item = succession->over.head; item; item = item->next)
+  for (GList *item = target_starts->over.head; item; item = item->next)
     if (is_earlier (name, ((Start *)item->data)->name))
       return TRUE;
   return FALSE;
@@ -164,9 +164,9 @@
 
 /* Returns whether a replaced start continues while the current one is silent. */
 static gboolean
-returns (const TargetStarts *succession, Start *start, gint64 sequence)
+returns (const TargetStarts *target_starts, Start *start, gint64 sequence)
 {
-  gint64 silence = clock_now (succession->clock) - succession->last_heartbeat_us;
+  gint64 silence = clock_now (target_starts->clock) - target_starts->last_heartbeat_us;
 
   if (start->ended || sequence <= start->sequence)
     return FALSE;
@@ -176,9 +176,9 @@
 }
 
 TargetStartsResult
-target_starts_heartbeat (TargetStarts *succession, const char *name, gint64 sequence)
+target_starts_heartbeat (TargetStarts *target_starts, const char *name, gint64 sequence)
 {
-  Start *present = succession->present;
+  Start *present = target_starts->present;
   Start *over;
 
   if (present && strcmp (present->name, name) == 0)
@@ -186,31 +186,31 @@
       if (sequence <= present->sequence)
         return TARGET_STARTS_STALE;
       present->sequence = sequence;
-      succession->last_heartbeat_us = clock_now (succession->clock);
+      target_starts->last_heartbeat_us = clock_now (target_starts->clock);
       return TARGET_STARTS_CURRENT;
     }
-  if (is_over (succession, name))
+  if (is_over (target_starts, name))
     return TARGET_STARTS_STALE;
-  over = find_past_start (succession, name);
-  if (over && !returns (succession, over, sequence))
+  over = find_past_start (target_starts, name);
+  if (over && !returns (target_starts, over, sequence))
     return TARGET_STARTS_STALE;
   if (over)
-    g_queue_remove (&succession->over, over);
-  make_current (succession, over ? over : start_create (name), sequence);
+    g_queue_remove (&target_starts->over, over);
+  make_current (target_starts, over ? over : start_create (name), sequence);
   return TARGET_STARTS_NEW;
 }
 
 void
-target_starts_note_end (TargetStarts *succession, const char *name)
+target_starts_note_end (TargetStarts *target_starts, const char *name)
 {
-  Start *start = find_past_start (succession, name);
+  Start *start = find_past_start (target_starts, name);
 
-  if (succession->present && strcmp (succession->present->name, name) == 0)
-    start = succession->present;
+  if (target_starts->present && strcmp (target_starts->present->name, name) == 0)
+    start = target_starts->present;
   if (!start)
     {
       start = start_create (name);
-      add_past_start (succession, start);
+      add_past_start (target_starts, start);
     }
   start->ended = TRUE;
 }
--- a/core/src/member/members-compare.c
+++ b/core/src/member/members-compare.c
@@ -27,23 +27,23 @@
 {
   guint mismatches; /* required consecutive ones */
   gint64 every_us;  /* minimum time between comparisons */
-} Pace;
+} ComparePolicy;
 
 /*
  * A node that is starting up compares its view with nodes of its hall at the first
  * difference. With other halls only the first CROSS_HALL_NODES nodes of each hall do so;
  * the others get the result from them.
  */
-static Pace
-pace_of (const Members *members, gboolean near)
+static ComparePolicy
+compare_policy (const Members *members, gboolean near)
 {
   gboolean young = members_is_starting_up (members);
 
   if (young && near)
-    return (Pace){ 1, STARTUP_EVERY_US };
+    return (ComparePolicy){ 1, STARTUP_EVERY_US };
   if (young && members_rank_in_hall (members) < CROSS_HALL_NODES)
-    return (Pace){ 1, STARTUP_FAR_EVERY_US };
-  return (Pace){ MISMATCHES_MIN, near ? EVERY_US : FAR_EVERY_US };
+    return (ComparePolicy){ 1, STARTUP_FAR_EVERY_US };
+  return (ComparePolicy){ MISMATCHES_MIN, near ? EVERY_US : FAR_EVERY_US };
 }
 
 gboolean
@@ -53,7 +53,7 @@
   gboolean near = record && members_in_own_hall (members, &record->member);
   Comparison *comparison = &members->comparisons[near];
   gint64 now = clock_now (members->clock);
-  Pace pace = pace_of (members, near);
+  ComparePolicy pace = compare_policy (members, near);
 
   if (digest == members_digest (members))
     {
--- a/core/src/member/members-private.h
+++ b/core/src/member/members-private.h
@@ -1,6 +1,6 @@
 /*
  * Shared by the files of the membership: members.c creates it and merges updates,
- * members-probe.c probes members and handles suspicion, members-news.c selects the
+ * members-probe.c probes members and handles suspicion, members-updates.c selects the
  * updates to send and the buckets that differ, members-compare.c decides when to compare
  * views.
  */
@@ -43,7 +43,7 @@
   gint64 began_us;
   Comparison comparisons[2]; /* [0] with nodes of other halls, [1] of the own hall */
   GPtrArray *borrowed;       /* result of the last query */
-  GArray *news;              /* result of the last members_next_news */
+  GArray *updates;           /* result of the last members_next_updates */
   MembersChangedFunc changed;
   gpointer changed_data;
 };
--- a/core/src/member/members-news.c
+++ b/core/src/member/members-updates.c
@@ -10,14 +10,14 @@
 #define DIFFERING_BUCKETS_MAX 8u
 
 gsize
-members_news_size (const MemberNews *news)
+members_update_size (const MemberUpdate *update)
 {
-  const Member *member = news->member;
+  const Member *member = update->member;
   gsize payload = member->payload ? g_bytes_get_size (member->payload) : 0;
   gsize state = member->state ? g_bytes_get_size (member->state) : 0;
 
   /* Six numbers and a length. */
-  if (news->delta)
+  if (update->delta)
     return 24 + 4 + state;
   /* Six numbers, one of them long, five lengths, and up to three bytes of padding to each
      text. */
@@ -40,15 +40,15 @@
 }
 
 static gboolean
-add_news (GArray *news, MemberRecord *record, gboolean delta, gsize *room)
+append_update (GArray *updates, MemberRecord *record, gboolean delta, gsize *room)
 {
-  MemberNews item = { &record->member, delta };
-  gsize weight = members_news_size (&item);
+  MemberUpdate item = { &record->member, delta };
+  gsize weight = members_update_size (&item);
 
   if (weight > *room)
     return FALSE;
   *room -= weight;
-  g_array_append_val (news, item);
+  g_array_append_val (updates, item);
   return TRUE;
 }
 
@@ -73,22 +73,22 @@
 }
 
 const GArray *
-members_next_news (Members *members, const char *to, gsize max_bytes)
+members_next_updates (Members *members, const char *to, gsize max_bytes)
 {
-  GArray *news = members->news;
+  GArray *updates = members->updates;
   MemberRecord *receiver = to ? members_table_find (members->table, to) : NULL;
   g_autoptr (GPtrArray) fresh = g_ptr_array_new ();
   gsize room = max_bytes;
 
-  g_array_set_size (news, 0);
-  add_news (news, members->self,
-            introduced (receiver) && members->self->full_sends_left == 0, &room);
+  g_array_set_size (updates, 0);
+  append_update (updates, members->self,
+                 introduced (receiver) && members->self->full_sends_left == 0, &room);
   count_send (members->self);
   /* A receiver that is suspect, dead, left or of another incarnation in this view must
-     learn of it to overrule it. */
+     learn of it to refute it. */
   if (receiver && receiver != members->self &&
       (receiver->member.status != MEMBER_ALIVE || receiver->contested))
-    add_news (news, receiver, FALSE, &room);
+    append_update (updates, receiver, FALSE, &room);
   members_table_pending (members->table, fresh);
   for (guint i = 0; i < fresh->len; i++)
     {
@@ -96,11 +96,11 @@
 
       if (record == members->self || record == receiver)
         continue;
-      if (!add_news (news, record, record->full_sends_left == 0, &room))
+      if (!append_update (updates, record, record->full_sends_left == 0, &room))
         break;
       count_send (record);
     }
-  return news;
+  return updates;
 }
 
 guint64
--- a/core/src/member/members.c
+++ b/core/src/member/members.c
@@ -48,7 +48,7 @@
   members->clock = clock;
   members->round = g_ptr_array_new_with_free_func (g_free);
   members->remote_round = g_ptr_array_new_with_free_func (g_free);
-  members->news = g_array_new (FALSE, FALSE, sizeof (MemberNews));
+  members->updates = g_array_new (FALSE, FALSE, sizeof (MemberUpdate));
   members->probes = g_array_new (FALSE, FALSE, sizeof (Probe));
   g_array_set_clear_func (members->probes, clear_probe);
   members->borrowed = g_ptr_array_new ();
@@ -66,7 +66,7 @@
   g_strfreev (members->seeds);
   g_ptr_array_unref (members->round);
   g_ptr_array_unref (members->remote_round);
-  g_array_unref (members->news);
+  g_array_unref (members->updates);
   g_array_unref (members->probes);
   g_ptr_array_unref (members->borrowed);
   g_free (members);
@@ -103,7 +103,7 @@
 
 /* Raises self's epoch above `epoch`, so that its own update wins. */
 static void
-overrule (Members *members, guint32 epoch)
+refute (Members *members, guint32 epoch)
 {
   members->self->member.epoch = epoch + 1;
   members_table_rehash (members->table, members->self);
@@ -120,7 +120,7 @@
   if (rumour->epoch == self->epoch && rumour->incarnation == self->incarnation &&
       rumour->status == MEMBER_ALIVE)
     return FALSE;
-  overrule (members, rumour->epoch);
+  refute (members, rumour->epoch);
   return TRUE;
 }
 
--- a/core/src/request/admission-queue.c
+++ b/core/src/request/admission-queue.c
@@ -3,7 +3,7 @@
 typedef struct
 {
   gpointer item;
-  AdmissionOrder order;
+  AdmissionParams order;
 } Waiting;
 
 struct AdmissionQueue
@@ -42,7 +42,7 @@
 }
 
 static gpointer
-take_at (AdmissionQueue *queue, guint place)
+remove_at (AdmissionQueue *queue, guint place)
 {
   gpointer item = at (queue, place)->item;
 
@@ -52,14 +52,14 @@
 
 /* Returns whether the answer will miss its objective even if the request starts now. */
 static gboolean
-is_late (const AdmissionOrder *order, gint64 now_us)
+is_late (const AdmissionParams *order, gint64 now_us)
 {
   return order->on_time_by_us > 0 && order->on_time_by_us < now_us;
 }
 
 /* Returns whether a queued request starts before one that arrives now. */
 static gboolean
-goes_before (const AdmissionOrder *waiting, const AdmissionOrder *order, gint64 now_us)
+goes_before (const AdmissionParams *waiting, const AdmissionParams *order, gint64 now_us)
 {
   gboolean waiting_late = is_late (waiting, now_us);
   gboolean order_late = is_late (order, now_us);
@@ -71,7 +71,7 @@
 
 guint
 admission_queue_ahead (const AdmissionQueue *queue,
-                       const AdmissionOrder *order,
+                       const AdmissionParams *order,
                        gint64 now_us)
 {
   guint ahead = 0;
@@ -83,7 +83,7 @@
 }
 
 void
-admission_queue_add (AdmissionQueue *queue, gpointer item, const AdmissionOrder *order)
+admission_queue_add (AdmissionQueue *queue, gpointer item, const AdmissionParams *order)
 {
   Waiting waiting = { item, *order };
   guint place = queue->waiting->len;
@@ -100,13 +100,13 @@
     return NULL;
   for (guint i = 0; i < queue->waiting->len; i++)
     if (!is_late (&at (queue, i)->order, now_us))
-      return take_at (queue, i);
-  return take_at (queue, 0);
+      return remove_at (queue, i);
+  return remove_at (queue, 0);
 }
 
 gpointer
 admission_queue_displace (AdmissionQueue *queue,
-                          const AdmissionOrder *order,
+                          const AdmissionParams *order,
                           gint64 now_us)
 {
   guint last = queue->waiting->len;
@@ -116,16 +116,16 @@
   for (guint i = last; i-- > 0;)
     if (is_late (&at (queue, i)->order, now_us) &&
         !goes_before (&at (queue, i)->order, order, now_us))
-      return take_at (queue, i);
+      return remove_at (queue, i);
   if (last > 0 && !goes_before (&at (queue, last - 1)->order, order, now_us))
-    return take_at (queue, last - 1);
+    return remove_at (queue, last - 1);
   return NULL;
 }
 
 /* Returns the time after which a request is not worth a slot: its latest start, or the
    moment when the rest of its deadline is shorter than the minimum service time. */
 static gint64
-expiry_us (const AdmissionOrder *order, gint64 min_service_us)
+expiry_us (const AdmissionParams *order, gint64 min_service_us)
 {
   gint64 expiry = order->deadline_us - min_service_us;
 
@@ -137,7 +137,7 @@
 {
   for (guint i = 0; i < queue->waiting->len; i++)
     if (expiry_us (&at (queue, i)->order, min_service_us) <= now_us)
-      return take_at (queue, i);
+      return remove_at (queue, i);
   return NULL;
 }
 
@@ -147,7 +147,7 @@
   for (guint i = 0; i < queue->waiting->len; i++)
     if (at (queue, i)->item == item)
       {
-        take_at (queue, i);
+        remove_at (queue, i);
         return TRUE;
       }
   return FALSE;
--- a/core/src/request/admission-queue.h
+++ b/core/src/request/admission-queue.h
@@ -24,11 +24,11 @@
 
 /* Returns the number of queued items that would start before a request with `order`. */
 guint admission_queue_ahead (const AdmissionQueue *queue,
-                             const AdmissionOrder *order,
+                             const AdmissionParams *order,
                              gint64 now_us);
 
 void
-admission_queue_add (AdmissionQueue *queue, gpointer item, const AdmissionOrder *order);
+admission_queue_add (AdmissionQueue *queue, gpointer item, const AdmissionParams *order);
 
 /* Removes the next item to start; NULL if the queue is empty. */
 gpointer admission_queue_take (AdmissionQueue *queue, gint64 now_us);
@@ -36,7 +36,7 @@
 /* Removes an item that would start after a request with `order`, to make room for it;
    NULL if there is none. */
 gpointer admission_queue_displace (AdmissionQueue *queue,
-                                   const AdmissionOrder *order,
+                                   const AdmissionParams *order,
                                    gint64 now_us);
 
 /* Removes an item whose latest start has passed or whose deadline is less than
--- a/core/src/request/admission.c
+++ b/core/src/request/admission.c
@@ -120,7 +120,7 @@
 
 /* Makes room in a full queue by removing an item that would start after the new one. */
 static gboolean
-displace (Admission *admission, const AdmissionOrder *order)
+displace (Admission *admission, const AdmissionParams *order)
 {
   admission->displaced =
       admission_queue_displace (admission->queue, order, clock_now (admission->clock));
@@ -155,7 +155,7 @@
 /* Returns whether a request that waits for `wait_us` would miss its latest start or
    deadline. */
 static gboolean
-would_be_late (const Admission *admission, const AdmissionOrder *order, gint64 wait_us)
+would_be_late (const Admission *admission, const AdmissionParams *order, gint64 wait_us)
 {
   gint64 start = clock_now (admission->clock) + wait_us;
 
@@ -166,7 +166,7 @@
 }
 
 AdmissionAnswer
-admission_offer (Admission *admission, gpointer item, const AdmissionOrder *order)
+admission_offer (Admission *admission, gpointer item, const AdmissionParams *order)
 {
   guint ahead;
 
--- a/core/src/request/allowance-book.c
+++ b/core/src/request/allowance-buckets.c
@@ -19,43 +19,43 @@
   gint64 at_us;
 } Bucket;
 
-struct AllowanceBook
+struct AllowanceBuckets
 {
   AllowanceRule rule;
   Clock *clock;
-  GHashTable *buckets; /* account → Bucket */
+  GHashTable *by_account; /* account → Bucket */
 };
 
-AllowanceBook *
-allowance_book_create (const AllowanceRule *rule, Clock *clock)
+AllowanceBuckets *
+allowance_buckets_create (const AllowanceRule *rule, Clock *clock)
 {
-  AllowanceBook *book = g_new0 (AllowanceBook, 1);
+  AllowanceBuckets *buckets = g_new0 (AllowanceBuckets, 1);
 
-  book->rule = *rule;
-  book->clock = clock;
-  book->buckets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  return book;
+  buckets->rule = *rule;
+  buckets->clock = clock;
+  buckets->by_account = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  return buckets;
 }
 
 void
-allowance_book_destroy (AllowanceBook *book)
+allowance_buckets_destroy (AllowanceBuckets *buckets)
 {
-  if (!book)
+  if (!buckets)
     return;
-  g_hash_table_unref (book->buckets);
-  g_free (book);
+  g_hash_table_unref (buckets->by_account);
+  g_free (buckets);
 }
 
 static Bucket *
-bucket_of (AllowanceBook *book, const char *account, gint64 since_us)
+bucket_of (AllowanceBuckets *buckets, const char *account, gint64 since_us)
 {
-  Bucket *bucket = g_hash_table_lookup (book->buckets, account);
+  Bucket *bucket = g_hash_table_lookup (buckets->by_account, account);
 
   if (bucket)
     return bucket;
   bucket = g_new0 (Bucket, 1);
-  bucket->at_us = MIN (since_us, clock_now (book->clock));
-  g_hash_table_insert (book->buckets, g_strdup (account), bucket);
+  bucket->at_us = MIN (since_us, clock_now (buckets->clock));
+  g_hash_table_insert (buckets->by_account, g_strdup (account), bucket);
   return bucket;
 }
 
@@ -79,18 +79,18 @@
 }
 
 AllowanceGrant
-allowance_book_lend (AllowanceBook *book,
-                     const char *account,
-                     const AllowanceTerms *terms,
-                     double share,
-                     gint64 since_us,
-                     guint wanted)
+allowance_buckets_lend (AllowanceBuckets *buckets,
+                        const char *account,
+                        const AllowanceTerms *terms,
+                        double share,
+                        gint64 since_us,
+                        guint wanted)
 {
-  AllowanceRate rate = allowance_rate (&book->rule, terms, share);
-  Bucket *bucket = bucket_of (book, account, since_us);
+  AllowanceRate rate = allowance_rate (&buckets->rule, terms, share);
+  Bucket *bucket = bucket_of (buckets, account, since_us);
   AllowanceGrant grant = { 0 };
 
-  fill (bucket, &rate, clock_now (book->clock));
+  fill (bucket, &rate, clock_now (buckets->clock));
   grant.lent = (guint)MIN ((double)wanted, floor (MAX (bucket->level, 0)));
   bucket->level -= grant.lent;
   if (grant.lent < wanted)
@@ -99,14 +99,16 @@
 }
 
 void
-allowance_book_prune (AllowanceBook *book, AllowanceIsLender is_own, gpointer data)
+allowance_buckets_prune (AllowanceBuckets *buckets,
+                         AllowanceIsLender is_own,
+                         gpointer data)
 {
-  gint64 now = clock_now (book->clock);
+  gint64 now = clock_now (buckets->clock);
   GHashTableIter iter;
   gpointer account;
   gpointer bucket;
 
-  g_hash_table_iter_init (&iter, book->buckets);
+  g_hash_table_iter_init (&iter, buckets->by_account);
   while (g_hash_table_iter_next (&iter, &account, &bucket))
     if (!is_own (account, data) || now - ((Bucket *)bucket)->at_us > IDLE_US)
       g_hash_table_iter_remove (&iter);
--- a/core/src/request/allowance-cache.c
+++ b/core/src/request/allowance-cache.c
@@ -36,7 +36,7 @@
 struct AllowanceCache
 {
   Clock *clock;
-  GHashTable *holdings; /* account → Holding */
+  GHashTable *by_account; /* account → Holding */
   gint64 swept_us;
 };
 
@@ -62,7 +62,8 @@
   AllowanceCache *cache = g_new0 (AllowanceCache, 1);
 
   cache->clock = clock;
-  cache->holdings = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, holding_free);
+  cache->by_account =
+      g_hash_table_new_full (g_str_hash, g_str_equal, g_free, holding_free);
   cache->swept_us = clock_now (clock);
   return cache;
 }
@@ -72,14 +73,14 @@
 {
   if (!cache)
     return;
-  g_hash_table_unref (cache->holdings);
+  g_hash_table_unref (cache->by_account);
   g_free (cache);
 }
 
 static Holding *
 holding_of (AllowanceCache *cache, const char *account)
 {
-  Holding *holding = g_hash_table_lookup (cache->holdings, account);
+  Holding *holding = g_hash_table_lookup (cache->by_account, account);
 
   if (holding)
     return holding;
@@ -88,7 +89,7 @@
   holding->pauses = g_array_new (FALSE, FALSE, sizeof (Pause));
   g_array_set_clear_func (holding->pauses, clear_pause);
   holding->at_us = clock_now (cache->clock);
-  g_hash_table_insert (cache->holdings, g_strdup (account), holding);
+  g_hash_table_insert (cache->by_account, g_strdup (account), holding);
   return holding;
 }
 
@@ -101,7 +102,7 @@
   if (now_us - cache->swept_us < IDLE_US)
     return;
   cache->swept_us = now_us;
-  g_hash_table_iter_init (&iter, cache->holdings);
+  g_hash_table_iter_init (&iter, cache->by_account);
   while (g_hash_table_iter_next (&iter, NULL, &holding))
     if (now_us - ((Holding *)holding)->at_us > IDLE_US)
       g_hash_table_iter_remove (&iter);
@@ -123,7 +124,7 @@
 double
 allowance_cache_use_rate (const AllowanceCache *cache, const char *account)
 {
-  const Holding *holding = g_hash_table_lookup (cache->holdings, account);
+  const Holding *holding = g_hash_table_lookup (cache->by_account, account);
 
   return holding ? holding->rate * decay (holding, clock_now (cache->clock)) : 0;
 }
@@ -140,7 +141,7 @@
 gboolean
 allowance_cache_take (AllowanceCache *cache, const char *account)
 {
-  Holding *holding = g_hash_table_lookup (cache->holdings, account);
+  Holding *holding = g_hash_table_lookup (cache->by_account, account);
   gint64 now = clock_now (cache->clock);
 
   if (!holding)
@@ -177,7 +178,7 @@
 guint
 allowance_cache_prefetch_count (const AllowanceCache *cache, const char *account)
 {
-  const Holding *holding = g_hash_table_lookup (cache->holdings, account);
+  const Holding *holding = g_hash_table_lookup (cache->by_account, account);
   double span = PREFETCH_SHARE * ALLOWANCE_HOLD_US / SECOND_US;
   double rate = allowance_cache_use_rate (cache, account) - 1;
   guint wanted = rate > 0 ? (guint)(rate * span) : 0;
@@ -250,7 +251,7 @@
                              guint count,
                              gint64 *wait_us)
 {
-  const Holding *holding = g_hash_table_lookup (cache->holdings, account);
+  const Holding *holding = g_hash_table_lookup (cache->by_account, account);
   gint64 now = clock_now (cache->clock);
   gint64 first = G_MAXINT64;
 
--- a/core/src/request/dispatch.c
+++ b/core/src/request/dispatch.c
@@ -77,9 +77,9 @@
 dispatch_retry_kind (const Dispatch *dispatch)
 {
   if (dispatch->arrivals > 0)
-    return RETRY_AGAIN;
+    return RETRY_FURTHER_ATTEMPT;
   if (!dispatch->policy.call)
-    return RETRY_NONE;
+    return RETRY_FIRST_ATTEMPT;
   return dispatch->policy.repeat ? RETRY_INHERITED : RETRY_CALL;
 }
 
--- a/core/src/request/latency.c
+++ b/core/src/request/latency.c
@@ -41,33 +41,33 @@
   double variance;
 } Route;
 
-struct LatencyBook
+struct LatencyStats
 {
   GHashTable *routes; /* id → Route */
 };
 
-LatencyBook *
-latency_book_create (void)
+LatencyStats *
+latency_stats_create (void)
 {
-  LatencyBook *book = g_new0 (LatencyBook, 1);
+  LatencyStats *stats = g_new0 (LatencyStats, 1);
 
-  book->routes = latency_routes_create ();
-  return book;
+  stats->routes = latency_routes_create ();
+  return stats;
 }
 
 void
-latency_book_destroy (LatencyBook *book)
+latency_stats_destroy (LatencyStats *stats)
 {
-  if (!book)
+  if (!stats)
     return;
-  g_hash_table_unref (book->routes);
-  g_free (book);
+  g_hash_table_unref (stats->routes);
+  g_free (stats);
 }
 
 void
-latency_book_add (LatencyBook *book, guint32 route_id, gint64 took_us)
+latency_stats_add (LatencyStats *stats, guint32 route_id, gint64 took_us)
 {
-  Route *route = latency_routes_get (book->routes, route_id, sizeof *route);
+  Route *route = latency_routes_get (stats->routes, route_id, sizeof *route);
   double sample = log ((double)MAX (took_us, 1));
   double off = sample - route->fit.log_mean;
   double weight;
@@ -79,9 +79,9 @@
 }
 
 LatencyFit
-latency_book_fit (const LatencyBook *book, guint32 id)
+latency_stats_fit (const LatencyStats *stats, guint32 id)
 {
-  const Route *route = g_hash_table_lookup (book->routes, GUINT_TO_POINTER (id));
+  const Route *route = g_hash_table_lookup (stats->routes, GUINT_TO_POINTER (id));
   LatencyFit fit = { 0 };
 
   if (!route)
--- a/core/src/request/quarantine-list.c
+++ b/core/src/request/quarantine-list.c
@@ -137,9 +137,9 @@
 }
 
 void
-quarantine_schedule_news (Quarantine *quarantine,
-                          const QuarantineEntry *entry,
-                          gboolean urgent)
+quarantine_schedule_update (Quarantine *quarantine,
+                            const QuarantineEntry *entry,
+                            gboolean urgent)
 {
   guint i = (guint)(entry - quarantine_entry_at (quarantine, 0));
 
--- a/core/src/request/quarantine-private.h
+++ b/core/src/request/quarantine-private.h
@@ -1,7 +1,7 @@
 /*
  * Internals of the quarantine, shared by quarantine.c (verdicts and trials),
  * quarantine-list.c (the entries and their eviction), quarantine-blame.c (which request
- * an end counts against) and quarantine-news.c (updates between nodes).
+ * an end counts against) and quarantine-updates.c (updates between nodes).
  */
 #ifndef CORE_QUARANTINE_PRIVATE_H
 #define CORE_QUARANTINE_PRIVATE_H
@@ -48,9 +48,9 @@
 #define QUARANTINE_SENDS_NORMAL 4u
 
 /* Schedules an entry's update to be sent after a change. */
-void quarantine_schedule_news (Quarantine *quarantine,
-                               const QuarantineEntry *entry,
-                               gboolean urgent);
+void quarantine_schedule_update (Quarantine *quarantine,
+                                 const QuarantineEntry *entry,
+                                 gboolean urgent);
 /* Returns whether what is known of the entry now is urgent. */
 gboolean quarantine_is_urgent (const QuarantineEntry *entry);
 
--- a/core/src/request/quarantine.c
+++ b/core/src/request/quarantine.c
@@ -43,7 +43,7 @@
     return;
   entry->version = version;
   if (quarantine_add_end (entry, end))
-    quarantine_schedule_news (quarantine, entry, quarantine_is_urgent (entry));
+    quarantine_schedule_update (quarantine, entry, quarantine_is_urgent (entry));
 }
 
 void
@@ -80,7 +80,7 @@
   gboolean urgent = quarantine_is_urgent (entry);
 
   quarantine_clear (quarantine, entry, entry->epoch + 1, clock_now (quarantine->clock));
-  quarantine_schedule_news (quarantine, entry, urgent);
+  quarantine_schedule_update (quarantine, entry, urgent);
 }
 
 gboolean
@@ -106,7 +106,7 @@
       now < decisive_us + QUARANTINE_SETTLE_US)
     return;
   quarantine_set_held (quarantine, entry, now);
-  quarantine_schedule_news (quarantine, entry, TRUE);
+  quarantine_schedule_update (quarantine, entry, TRUE);
 }
 
 static gboolean
@@ -174,7 +174,7 @@
   entry->turn++;
   entry->trials = trials;
   entry->due_us = due_us;
-  quarantine_schedule_news (quarantine, entry, TRUE);
+  quarantine_schedule_update (quarantine, entry, TRUE);
 }
 
 gboolean
--- a/core/src/request/retry.c
+++ b/core/src/request/retry.c
@@ -123,15 +123,15 @@
 gboolean
 retry_budget_allows (const RetryBudget *budget, RetryKind kind)
 {
-  return kind != RETRY_AGAIN || retry_budget_has (budget);
+  return kind != RETRY_FURTHER_ATTEMPT || retry_budget_has (budget);
 }
 
 void
 retry_budget_note (RetryBudget *budget, RetryKind kind)
 {
-  if (kind == RETRY_NONE)
+  if (kind == RETRY_FIRST_ATTEMPT)
     retry_budget_deposit (budget);
-  else if (kind == RETRY_INHERITED || kind == RETRY_AGAIN)
+  else if (kind == RETRY_INHERITED || kind == RETRY_FURTHER_ATTEMPT)
     retry_budget_charge (budget);
 }
 
--- a/core/src/request/split.c
+++ b/core/src/request/split.c
@@ -59,7 +59,7 @@
 /* Adds to each share's credit its weight, selects the share with the highest credit, and
    subtracts the total weight from it. Returns the index of the selected share. */
 static guint
-take_turn (Turns *turns, const Route *route, gint64 total)
+select_share (Turns *turns, const Route *route, gint64 total)
 {
   guint best = 0;
 
@@ -95,7 +95,7 @@
   skipped =
       g_rand_int_range (splitter->rand, 0, (gint32)CLAMP (total, 1, FIRST_TURN_MAX));
   for (gint32 i = 0; i < skipped; i++)
-    take_turn (turns, route, total);
+    select_share (turns, route, total);
   g_hash_table_replace (splitter->routes, g_steal_pointer (&key), turns);
   return turns;
 }
@@ -108,7 +108,7 @@
 
   if (route->split->len == 0)
     return route->service;
-  place = take_turn (turns_of (splitter, route, total), route, total);
+  place = select_share (turns_of (splitter, route, total), route, total);
   return g_array_index (route->split, RouteShare, place).service;
 }
 
--- a/core/tests/test-admission-load.c
+++ b/core/tests/test-admission-load.c
@@ -62,9 +62,9 @@
 {
   Item *item = &replay->items[replay->count++];
   gint64 now = clock_now (replay->clock);
-  AdmissionOrder order = { .priority = priority,
-                           .deadline_us = now + DEADLINE_US,
-                           .on_time_by_us = now + OBJECTIVE_US - WORK_US };
+  AdmissionParams order = { .priority = priority,
+                            .deadline_us = now + DEADLINE_US,
+                            .on_time_by_us = now + OBJECTIVE_US - WORK_US };
   Item *displaced;
 
   item->priority = priority;
--- a/core/tests/test-admission.c
+++ b/core/tests/test-admission.c
@@ -37,7 +37,7 @@
 static AdmissionAnswer
 offer (Fixture *fixture, guint item, guint priority, gint64 left_us)
 {
-  AdmissionOrder order = { priority, clock_now (fixture->clock) + left_us, 0 };
+  AdmissionParams order = { priority, clock_now (fixture->clock) + left_us, 0 };
 
   return admission_offer (fixture->admission, &fixture->items[item], &order);
 }
@@ -130,8 +130,8 @@
 test_the_wait_is_bounded_by_start_by (void **state)
 {
   Fixture fixture = setup ();
-  AdmissionOrder soon = { 1, 60 * SECOND_US, 0 };
-  AdmissionOrder later = soon;
+  AdmissionParams soon = { 1, 60 * SECOND_US, 0 };
+  AdmissionParams later = soon;
 
   fill (&fixture);
   for (guint i = 0; i < 40; i++)
--- a/core/tests/test-allowance.c
+++ b/core/tests/test-allowance.c
@@ -69,14 +69,14 @@
 {
   const AllowanceTerms terms = { 40, 40 };
   Clock *clock = clock_create_manual (WINDOW_US);
-  AllowanceBook *book = allowance_book_create (&rule, clock);
+  AllowanceBuckets *buckets = allowance_buckets_create (&rule, clock);
   guint hold = ALLOWANCE_HOLD_US / STEP_US;
   g_autofree guint *passed = g_new0 (guint, STEPS + hold + 1);
   guint all = 0;
 
   for (guint i = 0; i < STEPS; i++)
     {
-      guint lent = allowance_book_lend (book, ACCOUNT, &terms, 1, 0, MANY).lent;
+      guint lent = allowance_buckets_lend (buckets, ACCOUNT, &terms, 1, 0, MANY).lent;
 
       passed[i + (i / 500 % 2 ? hold : 0)] += lent;
       all += lent;
@@ -84,7 +84,7 @@
     }
   assert_true (worst_window (passed, STEPS + hold) <= window_bound (&terms));
   assert_true (all >= 0.95 * terms.per_s * STEPS * STEP_US / SECOND_US);
-  allowance_book_destroy (book);
+  allowance_buckets_destroy (buckets);
   clock_destroy (clock);
 }
 
@@ -94,22 +94,23 @@
 {
   const AllowanceTerms terms = { 40, 40 };
   Clock *clock = clock_create_manual (WINDOW_US);
-  AllowanceBook *book = allowance_book_create (&rule, clock);
+  AllowanceBuckets *buckets = allowance_buckets_create (&rule, clock);
   g_autofree guint *passed = g_new0 (guint, STEPS + 1);
 
   for (guint i = 0; i < STEPS; i++)
     {
       if (i % 90 == 0)
         {
-          allowance_book_destroy (book);
-          book = allowance_book_create (&rule, clock);
+          allowance_buckets_destroy (buckets);
+          buckets = allowance_buckets_create (&rule, clock);
         }
       passed[i] =
-          allowance_book_lend (book, ACCOUNT, &terms, 1, clock_now (clock), MANY).lent;
+          allowance_buckets_lend (buckets, ACCOUNT, &terms, 1, clock_now (clock), MANY)
+              .lent;
       clock_advance (clock, STEP_US);
     }
   assert_true (worst_window (passed, STEPS) <= window_bound (&terms));
-  allowance_book_destroy (book);
+  allowance_buckets_destroy (buckets);
   clock_destroy (clock);
 }
 
@@ -119,17 +120,17 @@
   const AllowanceTerms high = { 400, 400 };
   const AllowanceTerms low = { 40, 40 };
   Clock *clock = clock_create_manual (100 * SECOND_US);
-  AllowanceBook *book = allowance_book_create (&rule, clock);
+  AllowanceBuckets *buckets = allowance_buckets_create (&rule, clock);
   g_autofree guint *passed = g_new0 (guint, STEPS + 1);
 
-  allowance_book_lend (book, ACCOUNT, &high, 1, 0, 1);
+  allowance_buckets_lend (buckets, ACCOUNT, &high, 1, 0, 1);
   for (guint i = 0; i < STEPS; i++)
     {
-      passed[i] = allowance_book_lend (book, ACCOUNT, &low, 1, 0, MANY).lent;
+      passed[i] = allowance_buckets_lend (buckets, ACCOUNT, &low, 1, 0, MANY).lent;
       clock_advance (clock, STEP_US);
     }
   assert_true (worst_window (passed, STEPS) <= window_bound (&low));
-  allowance_book_destroy (book);
+  allowance_buckets_destroy (buckets);
   clock_destroy (clock);
 }
 
@@ -140,17 +141,18 @@
 {
   const AllowanceTerms terms = { 8, 8 };
   Clock *clock = clock_create_manual (100 * SECOND_US);
-  AllowanceBook *book = allowance_book_create (&rule, clock);
+  AllowanceBuckets *buckets = allowance_buckets_create (&rule, clock);
 
   for (guint burst = 0; burst < 3; burst++)
-    assert_int_equal (allowance_book_lend (book, ACCOUNT, &terms, 1, 0, 8).lent, 8);
+    assert_int_equal (allowance_buckets_lend (buckets, ACCOUNT, &terms, 1, 0, 8).lent, 8);
   clock_advance (clock, 10 * SECOND_US);
   for (guint i = 0; i < 800; i++)
     {
-      assert_int_equal (allowance_book_lend (book, ACCOUNT, &terms, 1, 0, 1).lent, 1);
+      assert_int_equal (allowance_buckets_lend (buckets, ACCOUNT, &terms, 1, 0, 1).lent,
+                        1);
       clock_advance (clock, SECOND_US / 8);
     }
-  allowance_book_destroy (book);
+  allowance_buckets_destroy (buckets);
   clock_destroy (clock);
 }
 
@@ -159,13 +161,13 @@
 {
   const AllowanceTerms terms = { 4, 0 };
   Clock *clock = clock_create_manual (100 * SECOND_US);
-  AllowanceBook *book = allowance_book_create (&rule, clock);
-  AllowanceGrant grant = allowance_book_lend (book, ACCOUNT, &terms, 1, 0, MANY);
+  AllowanceBuckets *buckets = allowance_buckets_create (&rule, clock);
+  AllowanceGrant grant = allowance_buckets_lend (buckets, ACCOUNT, &terms, 1, 0, MANY);
 
   assert_true (grant.retry_after_us > 0);
   clock_advance (clock, grant.retry_after_us + MS_US);
-  assert_int_equal (allowance_book_lend (book, ACCOUNT, &terms, 1, 0, 1).lent, 1);
-  allowance_book_destroy (book);
+  assert_int_equal (allowance_buckets_lend (buckets, ACCOUNT, &terms, 1, 0, 1).lent, 1);
+  allowance_buckets_destroy (buckets);
   clock_destroy (clock);
 }
 
--- a/core/tests/test-dispatch.c
+++ b/core/tests/test-dispatch.c
@@ -104,13 +104,13 @@
   Fixture fixture = setup (FALSE, 3);
   DispatchStep step;
 
-  assert_int_equal (dispatch_retry_kind (fixture.dispatch), RETRY_NONE);
+  assert_int_equal (dispatch_retry_kind (fixture.dispatch), RETRY_FIRST_ATTEMPT);
   step = dispatch_sent (fixture.dispatch, DISPATCH_REFUSED, REASON_TARGET_REFUSED, 0);
   assert_int_equal (step.kind, DISPATCH_PAUSE);
   assert_int_equal (dispatch_resume (fixture.dispatch).kind, DISPATCH_CHOOSE);
   do
     {
-      assert_int_equal (dispatch_retry_kind (fixture.dispatch), RETRY_AGAIN);
+      assert_int_equal (dispatch_retry_kind (fixture.dispatch), RETRY_FURTHER_ATTEMPT);
       assert_int_equal (dispatch_chosen (fixture.dispatch, TRUE, 0).kind, DISPATCH_SEND);
       step = dispatch_sent (fixture.dispatch, DISPATCH_REFUSED, REASON_BUDGET, 0);
     }
@@ -257,7 +257,7 @@
   DispatchPolicy policies[] = { { .attempts_max = 1 },
                                 { .attempts_max = 1, .call = TRUE },
                                 { .attempts_max = 1, .call = TRUE, .repeat = TRUE } };
-  RetryKind kinds[] = { RETRY_NONE, RETRY_CALL, RETRY_INHERITED };
+  RetryKind kinds[] = { RETRY_FIRST_ATTEMPT, RETRY_CALL, RETRY_INHERITED };
   gboolean left[] = { TRUE, TRUE, FALSE };
 
   retry_budget_set_burst (budget, 0);
@@ -271,12 +271,12 @@
       assert_true (retry_budget_allows (budget, kinds[i]));
       retry_budget_note (budget, kinds[i]);
       dispatch_destroy (dispatch);
-      assert_int_equal (retry_budget_allows (budget, RETRY_AGAIN), left[i]);
+      assert_int_equal (retry_budget_allows (budget, RETRY_FURTHER_ATTEMPT), left[i]);
     }
-  retry_budget_note (budget, RETRY_NONE);
-  assert_true (retry_budget_allows (budget, RETRY_AGAIN));
-  retry_budget_note (budget, RETRY_AGAIN);
-  assert_false (retry_budget_allows (budget, RETRY_AGAIN));
+  retry_budget_note (budget, RETRY_FIRST_ATTEMPT);
+  assert_true (retry_budget_allows (budget, RETRY_FURTHER_ATTEMPT));
+  retry_budget_note (budget, RETRY_FURTHER_ATTEMPT);
+  assert_false (retry_budget_allows (budget, RETRY_FURTHER_ATTEMPT));
   g_rand_free (rand);
   retry_budget_destroy (budget);
   clock_destroy (clock);
--- a/core/tests/test-latency.c
+++ b/core/tests/test-latency.c
@@ -23,42 +23,42 @@
   return (gint64)(median_us * exp (sd * sum));
 }
 
-static LatencyBook *
+static LatencyStats *
 filled (double median_us, double sd, guint count)
 {
-  LatencyBook *book = latency_book_create ();
+  LatencyStats *stats = latency_stats_create ();
   GRand *rand = g_rand_new_with_seed (5);
 
   for (guint i = 0; i < count; i++)
-    latency_book_add (book, ROUTE, draw (rand, median_us, sd));
+    latency_stats_add (stats, ROUTE, draw (rand, median_us, sd));
   g_rand_free (rand);
-  return book;
+  return stats;
 }
 
 static void
 test_a_fit_follows_its_samples (void **state)
 {
-  LatencyBook *book = filled (MEDIAN_US, 0.5, 400);
-  LatencyFit fit = latency_book_fit (book, ROUTE);
+  LatencyStats *stats = filled (MEDIAN_US, 0.5, 400);
+  LatencyFit fit = latency_stats_fit (stats, ROUTE);
 
   assert_true (fabs (fit.log_mean - log (MEDIAN_US)) < 0.2);
   assert_true (fabs (fit.log_sd - 0.5) < 0.15);
   assert_in_range (latency_fit_mean_us (&fit), 90 * MS_US, 140 * MS_US);
-  latency_book_destroy (book);
+  latency_stats_destroy (stats);
 }
 
 static void
 test_an_unknown_fit_makes_no_statement (void **state)
 {
-  LatencyBook *book = filled (MEDIAN_US, 0.5, 4);
-  LatencyFit few = latency_book_fit (book, ROUTE);
-  LatencyFit none = latency_book_fit (book, ROUTE + 1);
+  LatencyStats *stats = filled (MEDIAN_US, 0.5, 4);
+  LatencyFit few = latency_stats_fit (stats, ROUTE);
+  LatencyFit none = latency_stats_fit (stats, ROUTE + 1);
 
   assert_false (latency_fit_is_known (&few));
   assert_true (latency_fit_log_survival (&few, 3600 * SECOND_US) == 0);
   assert_true (latency_fit_log_survival (&none, 3600 * SECOND_US) == 0);
   assert_int_equal (latency_fit_mean_us (&none), 0);
-  latency_book_destroy (book);
+  latency_stats_destroy (stats);
 }
 
 /* The same rule works for routes of 5 ms and of 2 s. */
@@ -69,8 +69,8 @@
 
   for (guint i = 0; i < G_N_ELEMENTS (medians_us); i++)
     {
-      LatencyBook *book = filled (medians_us[i], 0.5, 400);
-      LatencyFit fit = latency_book_fit (book, ROUTE);
+      LatencyStats *stats = filled (medians_us[i], 0.5, 400);
+      LatencyFit fit = latency_stats_fit (stats, ROUTE);
       double half = latency_fit_log_survival (&fit, (gint64)medians_us[i]);
       double five = latency_fit_log_survival (&fit, (gint64)(5 * medians_us[i]));
       gint64 late = latency_fit_late_us (&fit);
@@ -81,7 +81,7 @@
                        MAX ((gint64)(6 * medians_us[i]), 50 * MS_US));
       assert_true (latency_fit_is_late (&fit, late + MS_US));
       assert_false (latency_fit_is_late (&fit, late - MS_US));
-      latency_book_destroy (book);
+      latency_stats_destroy (stats);
     }
 }
 
--- a/core/tests/test-quarantine.c
+++ b/core/tests/test-quarantine.c
@@ -14,7 +14,7 @@
 #define NODES 4u
 #define SERVICE 7u
 #define VERSION 1u
-#define NEWS_MAX 64u
+#define UPDATES_MAX 64u
 /* The machine has been up for a month. Updates of an entry without a trial once carried
    the age of time 0, which peers rejected as implausible, so that they did not quarantine
    the request. The fault did not show on machines that had just been started. */
@@ -81,16 +81,16 @@
 static void
 tell (Fixture *fixture, guint from, guint to)
 {
-  QuarantineNews news[NEWS_MAX];
-  guint count = quarantine_next_part (fixture->nodes[from], news, NEWS_MAX);
+  QuarantineUpdate updates[UPDATES_MAX];
+  guint count = quarantine_next_part (fixture->nodes[from], updates, UPDATES_MAX);
 
   for (guint i = 0; i < count; i++)
-    quarantine_merge (fixture->nodes[to], &news[i]);
+    quarantine_merge (fixture->nodes[to], &updates[i]);
 }
 
 /* Exchanges updates until every node has all of them. */
 static void
-exchange_all_news (Fixture *fixture)
+exchange_all_updates (Fixture *fixture)
 {
   for (guint round = 0; round < 2; round++)
     for (guint i = 0; i < NODES; i++)
@@ -121,12 +121,12 @@
 hold (Fixture *fixture, const Fingerprint *request)
 {
   crash_three_targets (fixture, request);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   pass (fixture, SETTLED_US);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   assert_true (quarantine_begin_trial (fixture->nodes[0], request));
   crash_under (fixture, 0, request, 1);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
 }
 
 /* Three nodes have seen one crash each, and a fourth none. */
@@ -136,7 +136,7 @@
   Fixture *fixture = *state;
 
   crash_three_targets (fixture, &deadly);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   pass (fixture, SETTLED_US);
   for (guint i = 0; i < NODES; i++)
     assert_true (state_at (fixture, i, &deadly) >= QUARANTINE_TRIAL);
@@ -158,7 +158,7 @@
 
 /* A node that hears of a crash repeatedly, from several others, counts it once. */
 static void
-test_repeated_news_counts_once (void **state)
+test_repeated_updates_count_once (void **state)
 {
   Fixture *fixture = *state;
 
@@ -166,7 +166,7 @@
   pass (fixture, CRASH_GAP_US);
   crash_under (fixture, 1, &deadly, 1);
   for (guint i = 0; i < 5; i++)
-    exchange_all_news (fixture);
+    exchange_all_updates (fixture);
   pass (fixture, SETTLED_US);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &deadly), QUARANTINE_DOUBTED);
@@ -186,7 +186,7 @@
       crash_under (fixture, i % NODES, &sound, 1);
       clock_advance (fixture->clock, 2 * MS_US);
     }
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   pass (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &sound), QUARANTINE_SUSPECT);
 }
@@ -201,11 +201,11 @@
   for (guint i = 0; i < 20; i++)
     {
       crash_under (fixture, i % NODES, &sound, 1);
-      exchange_all_news (fixture);
+      exchange_all_updates (fixture);
       pass (fixture, CRASH_GAP_US / 2);
       assert_true (state_at (fixture, 0, &sound) < QUARANTINE_TRIAL);
       assert_true (quarantine_note_answer (fixture->nodes[(i + 1) % NODES], &sound));
-      exchange_all_news (fixture);
+      exchange_all_updates (fixture);
       pass (fixture, CRASH_GAP_US / 2);
       for (guint j = 0; j < NODES; j++)
         assert_int_equal (state_at (fixture, j, &sound), QUARANTINE_FREE);
@@ -219,12 +219,12 @@
   Fixture *fixture = *state;
 
   crash_three_targets (fixture, &sound);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   pass (fixture, QUARANTINE_SETTLE_US - CRASH_GAP_US - MS_US);
   for (guint i = 0; i < NODES; i++)
     assert_true (state_at (fixture, i, &sound) < QUARANTINE_TRIAL);
   assert_true (quarantine_note_answer (fixture->nodes[3], &sound));
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   pass (fixture, SETTLED_US);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &sound), QUARANTINE_FREE);
@@ -245,7 +245,7 @@
       for (guint j = i < 2 ? 2 : 1; j < count; j++)
         work[j] = (Fingerprint){ ((guint64)i << 56) | ((guint64)j << 40) | 1, 0 };
       crash_under (fixture, i % NODES, work, count);
-      exchange_all_news (fixture);
+      exchange_all_updates (fixture);
       pass (fixture, CRASH_GAP_US);
     }
   pass (fixture, SETTLED_US);
@@ -271,12 +271,12 @@
   const Fingerprint both[] = { deadly, other };
 
   crash_under (fixture, 0, &deadly, 1);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   for (guint i = 0; i < 3; i++)
     {
       pass (fixture, CRASH_GAP_US);
       crash_under (fixture, i, both, 2);
-      exchange_all_news (fixture);
+      exchange_all_updates (fixture);
     }
   pass (fixture, SETTLED_US);
   assert_true (state_at (fixture, 3, &deadly) >= QUARANTINE_TRIAL);
@@ -296,13 +296,13 @@
       crash_under (fixture, i, both, 2);
       pass (fixture, CRASH_GAP_US);
     }
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   pass (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &other), QUARANTINE_TRIAL);
   assert_true (quarantine_begin_trial (fixture->nodes[0], &other));
   assert_true (quarantine_begin_trial (fixture->nodes[0], &deadly));
   assert_true (quarantine_note_answer (fixture->nodes[0], &other));
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   for (guint i = 0; i < NODES; i++)
     {
       assert_int_equal (state_at (fixture, i, &other), QUARANTINE_FREE);
@@ -322,7 +322,7 @@
     {
       pass (fixture, CRASH_GAP_US);
       crash_under (fixture, i, both, 2);
-      exchange_all_news (fixture);
+      exchange_all_updates (fixture);
     }
   pass (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &other), QUARANTINE_FREE);
@@ -346,7 +346,7 @@
   pass (fixture, QUARANTINE_PAUSE_FIRST_US);
   assert_true (quarantine_begin_trial (fixture->nodes[1], &deadly));
   crash_under (fixture, 1, &deadly, 1);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   pass (fixture, QUARANTINE_PAUSE_SECOND_US - SECOND_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_HELD);
   pass (fixture, SECOND_US);
@@ -361,7 +361,7 @@
   Fixture *fixture = *state;
 
   crash_three_targets (fixture, &deadly);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   pass (fixture, SETTLED_US);
   assert_true (quarantine_begin_trial (fixture->nodes[0], &deadly));
   quarantine_trial_undecided (fixture->nodes[0], &deadly);
@@ -382,23 +382,23 @@
   pass (fixture, QUARANTINE_PAUSE_FIRST_US);
   assert_true (quarantine_begin_trial (fixture->nodes[2], &sound));
   assert_true (quarantine_note_answer (fixture->nodes[2], &sound));
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &sound), QUARANTINE_FREE);
 }
 
 /* Updates from before an answer are ignored when they arrive after it. */
 static void
-test_news_from_before_an_answer_is_ignored (void **state)
+test_updates_from_before_an_answer_are_ignored (void **state)
 {
   Fixture *fixture = *state;
-  QuarantineNews old[NEWS_MAX];
+  QuarantineUpdate old[UPDATES_MAX];
   guint count;
 
   hold (fixture, &sound);
-  count = quarantine_next_part (fixture->nodes[0], old, NEWS_MAX);
+  count = quarantine_next_part (fixture->nodes[0], old, UPDATES_MAX);
   quarantine_note_answer (fixture->nodes[1], &sound);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   for (guint i = 0; i < count; i++)
     assert_false (quarantine_merge (fixture->nodes[2], &old[i]));
   assert_int_equal (state_at (fixture, 2, &sound), QUARANTINE_FREE);
@@ -437,7 +437,7 @@
   pass (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 1, &deadly), QUARANTINE_DOUBTED);
   assert_int_equal (state_at (fixture, 3, &deadly), QUARANTINE_SUSPECT);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &deadly), QUARANTINE_TRIAL);
 }
@@ -546,10 +546,10 @@
   quarantine_note_version (fixture->nodes[0], SERVICE + 1, VERSION + 1);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_HELD);
   quarantine_note_version (fixture->nodes[0], SERVICE, VERSION + 1);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   assert_int_equal (state_at (fixture, 3, &deadly), QUARANTINE_TRIAL);
   assert_true (quarantine_begin_trial (fixture->nodes[3], &deadly));
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   quarantine_note_version (fixture->nodes[1], SERVICE, VERSION + 2);
   assert_int_equal (state_at (fixture, 1, &deadly), QUARANTINE_HELD);
 }
@@ -564,49 +564,49 @@
   assert_false (quarantine_lift (fixture->nodes[0], "00000000"));
   assert_true (quarantine_lift (fixture->nodes[0], digits));
   assert_false (quarantine_lift (fixture->nodes[0], digits));
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &deadly), QUARANTINE_FREE);
 }
 
 /* Each change is sent a few times only, and nothing is sent while nothing changes. */
 static void
-test_news_is_sent_a_few_times (void **state)
+test_updates_are_sent_a_few_times (void **state)
 {
   Fixture *fixture = *state;
-  QuarantineNews news[NEWS_MAX];
+  QuarantineUpdate updates[UPDATES_MAX];
   guint told = 0;
 
   crash_three_targets (fixture, &deadly);
-  while (quarantine_urgency (fixture->nodes[0]) != QUARANTINE_NEWS_NONE && told < 1000)
-    told += quarantine_next_news (fixture->nodes[0], news, 1);
+  while (quarantine_urgency (fixture->nodes[0]) != QUARANTINE_UPDATES_NONE && told < 1000)
+    told += quarantine_next_updates (fixture->nodes[0], updates, 1);
   assert_in_range (told, 1, 20);
-  assert_int_equal (quarantine_next_news (fixture->nodes[0], news, NEWS_MAX), 0);
+  assert_int_equal (quarantine_next_updates (fixture->nodes[0], updates, UPDATES_MAX), 0);
 }
 
 /* Updates with values that no node sends are ignored. */
 static void
-test_implausible_news_is_ignored (void **state)
+test_implausible_updates_are_ignored (void **state)
 {
   Fixture *fixture = *state;
-  QuarantineNews news = { .request = deadly, .service = SERVICE, .held_age_us = -1 };
-
-  news.cleared_age_us = -1;
-  news.end_count = QUARANTINE_ENDS_KEPT + 1;
-  assert_false (quarantine_merge (fixture->nodes[0], &news));
-  news.end_count = 1;
-  news.end_ages_us[0] = -5;
-  assert_false (quarantine_merge (fixture->nodes[0], &news));
-  news.end_ages_us[0] = G_MAXINT64;
-  assert_false (quarantine_merge (fixture->nodes[0], &news));
-  news.end_count = 0;
-  assert_false (quarantine_merge (fixture->nodes[0], &news));
+  QuarantineUpdate update = { .request = deadly, .service = SERVICE, .held_age_us = -1 };
+
+  update.cleared_age_us = -1;
+  update.end_count = QUARANTINE_ENDS_KEPT + 1;
+  assert_false (quarantine_merge (fixture->nodes[0], &update));
+  update.end_count = 1;
+  update.end_ages_us[0] = -5;
+  assert_false (quarantine_merge (fixture->nodes[0], &update));
+  update.end_ages_us[0] = G_MAXINT64;
+  assert_false (quarantine_merge (fixture->nodes[0], &update));
+  update.end_count = 0;
+  assert_false (quarantine_merge (fixture->nodes[0], &update));
   assert_int_equal (quarantine_entries (fixture->nodes[0])->len, 0);
 }
 
 /* Of ten crashes, which each node hears of in another order, all keep the same six. */
 static void
-test_nodes_agree_for_any_order_of_news (void **state)
+test_nodes_agree_for_any_order_of_updates (void **state)
 {
   Fixture *fixture = *state;
 
@@ -617,8 +617,8 @@
         tell (fixture, i % NODES, (i + 1) % NODES);
       clock_advance (fixture->clock, MS_US);
     }
-  exchange_all_news (fixture);
-  exchange_all_news (fixture);
+  exchange_all_updates (fixture);
+  exchange_all_updates (fixture);
   for (guint i = 1; i < NODES; i++)
     assert_int_equal (quarantine_digest (fixture->nodes[0]),
                       quarantine_digest (fixture->nodes[i]));
@@ -631,7 +631,7 @@
   const struct CMUnitTest tests[] = {
     TEST (test_a_node_that_saw_no_crash_quarantines_too),
     TEST (test_two_crashes_are_not_enough),
-    TEST (test_repeated_news_counts_once),
+    TEST (test_repeated_updates_count_once),
     TEST (test_simultaneous_crashes_count_once),
     TEST (test_an_answer_anywhere_clears_a_request),
     TEST (test_an_answer_while_settling_clears_a_request),
@@ -642,7 +642,7 @@
     TEST (test_trials_are_single_and_back_off),
     TEST (test_an_undecided_trial_is_repeated_once),
     TEST (test_a_good_trial_ends_the_quarantine_everywhere),
-    TEST (test_news_from_before_an_answer_is_ignored),
+    TEST (test_updates_from_before_an_answer_are_ignored),
     TEST (test_a_restarted_node_learns_all_entries),
     TEST (test_partitions_agree_after_they_heal),
     TEST (test_suspects_are_forgotten_after_some_time),
@@ -652,9 +652,9 @@
     TEST (test_known_requests_are_counted_first),
     TEST (test_a_new_version_may_be_tried),
     TEST (test_an_operator_lifts_an_entry),
-    TEST (test_news_is_sent_a_few_times),
-    TEST (test_implausible_news_is_ignored),
-    TEST (test_nodes_agree_for_any_order_of_news),
+    TEST (test_updates_are_sent_a_few_times),
+    TEST (test_implausible_updates_are_ignored),
+    TEST (test_nodes_agree_for_any_order_of_updates),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/core/tests/test-retry.c
+++ b/core/tests/test-retry.c
@@ -50,7 +50,8 @@
   if (!retry_budget_allows (holder->budget, kind))
     return;
   retry_budget_note (holder->budget, kind);
-  g_array_append_val (kind == RETRY_AGAIN ? fleet->retries : fleet->first_attempts, now);
+  g_array_append_val (
+      kind == RETRY_FURTHER_ATTEMPT ? fleet->retries : fleet->first_attempts, now);
 }
 
 static guint
@@ -110,9 +111,9 @@
       else if (what < 20)
         for (guint i = 0; i < 40; i++)
           ask (&fleet, &fleet.holders[g_rand_int_range (fleet.rand, 0, HOLDERS)],
-               RETRY_AGAIN);
+               RETRY_FURTHER_ATTEMPT);
       else
-        ask (&fleet, holder, what < 700 ? RETRY_NONE : RETRY_AGAIN);
+        ask (&fleet, holder, what < 700 ? RETRY_FIRST_ATTEMPT : RETRY_FURTHER_ATTEMPT);
       clock_advance (fleet.clock, SECOND_US / 10 / rate);
     }
   check (&fleet, seed);
@@ -142,10 +143,10 @@
   fleet.retries = g_array_new (FALSE, FALSE, sizeof (gint64));
   start (&fleet, holder, TRUE);
   for (guint i = 0; i < 2 * BURST; i++)
-    ask (&fleet, holder, RETRY_AGAIN);
+    ask (&fleet, holder, RETRY_FURTHER_ATTEMPT);
   assert_int_equal (fleet.retries->len, BURST / HOLDERS);
   start (&fleet, holder, FALSE);
-  ask (&fleet, holder, RETRY_AGAIN);
+  ask (&fleet, holder, RETRY_FURTHER_ATTEMPT);
   assert_int_equal (fleet.retries->len, BURST / HOLDERS);
   retry_budget_destroy (holder->budget);
   g_array_unref (fleet.first_attempts);
--- a/core/tests/test-suspension.c
+++ b/core/tests/test-suspension.c
@@ -68,7 +68,7 @@
 {
   Clock *clock = clock_create_manual (SECOND_US);
   Admission *admission = admission_create (1, 4, clock);
-  AdmissionOrder order = { 1, clock_now (clock) + SECOND_US, 0 };
+  AdmissionParams order = { 1, clock_now (clock) + SECOND_US, 0 };
   int items[3];
 
   assert_int_equal (admission_offer (admission, &items[0], &order), ADMISSION_START);
--- a/core/tests/test-target-starts.c
+++ b/core/tests/test-target-starts.c
@@ -11,7 +11,7 @@
 typedef struct
 {
   Clock *clock;
-  TargetStarts *succession;
+  TargetStarts *target_starts;
 } Fixture;
 
 static Fixture
@@ -19,14 +19,14 @@
 {
   Fixture fixture = { .clock = clock_create_manual (SECOND_US) };
 
-  fixture.succession = target_starts_create (fixture.clock);
+  fixture.target_starts = target_starts_create (fixture.clock);
   return fixture;
 }
 
 static void
 teardown (Fixture *fixture)
 {
-  target_starts_destroy (fixture->succession);
+  target_starts_destroy (fixture->target_starts);
   clock_destroy (fixture->clock);
 }
 
@@ -35,7 +35,7 @@
 deliver_heartbeat (Fixture *fixture, const char *name, gint64 sequence)
 {
   clock_advance (fixture->clock, INTERVAL_US);
-  return target_starts_heartbeat (fixture->succession, name, sequence);
+  return target_starts_heartbeat (fixture->target_starts, name, sequence);
 }
 
 static void
@@ -47,7 +47,7 @@
   assert_int_equal (deliver_heartbeat (&fixture, "old", 2), TARGET_STARTS_CURRENT);
   assert_int_equal (deliver_heartbeat (&fixture, "old", 2), TARGET_STARTS_STALE);
   assert_int_equal (deliver_heartbeat (&fixture, "new", 1), TARGET_STARTS_NEW);
-  assert_string_equal (target_starts_current (fixture.succession), "new");
+  assert_string_equal (target_starts_current (fixture.target_starts), "new");
   teardown (&fixture);
 }
 
@@ -63,7 +63,7 @@
   assert_int_equal (deliver_heartbeat (&fixture, "new", 2), TARGET_STARTS_CURRENT);
   assert_int_equal (deliver_heartbeat (&fixture, "old", 3), TARGET_STARTS_STALE);
   assert_int_equal (deliver_heartbeat (&fixture, "new", 3), TARGET_STARTS_CURRENT);
-  assert_string_equal (target_starts_current (fixture.succession), "new");
+  assert_string_equal (target_starts_current (fixture.target_starts), "new");
   teardown (&fixture);
 }
 
@@ -89,7 +89,7 @@
   Fixture fixture = setup ();
 
   deliver_heartbeat (&fixture, "old", 1);
-  target_starts_note_end (fixture.succession, "old");
+  target_starts_note_end (fixture.target_starts, "old");
   assert_int_equal (deliver_heartbeat (&fixture, "new", 1), TARGET_STARTS_NEW);
   for (gint64 sequence = 2; sequence < 10; sequence++)
     assert_int_equal (deliver_heartbeat (&fixture, "old", sequence), TARGET_STARTS_STALE);
@@ -102,9 +102,9 @@
 {
   Fixture fixture = setup ();
 
-  target_starts_note_end (fixture.succession, "old");
+  target_starts_note_end (fixture.target_starts, "old");
   assert_int_equal (deliver_heartbeat (&fixture, "old", 5), TARGET_STARTS_STALE);
-  assert_null (target_starts_current (fixture.succession));
+  assert_null (target_starts_current (fixture.target_starts));
   teardown (&fixture);
 }
 
@@ -128,8 +128,8 @@
   assert_int_equal (deliver_heartbeat (&fixture, second, 2), TARGET_STARTS_CURRENT);
   /* A heartbeat without a start time does not take over either. */
   assert_int_equal (deliver_heartbeat (&fixture, "i-1", 50), TARGET_STARTS_STALE);
-  target_starts_note_end (fixture.succession, first);
-  assert_string_equal (target_starts_current (fixture.succession), second);
+  target_starts_note_end (fixture.target_starts, first);
+  assert_string_equal (target_starts_current (fixture.target_starts), second);
   teardown (&fixture);
 }
 
--- a/core/tests/test-warmup.c
+++ b/core/tests/test-warmup.c
@@ -145,7 +145,7 @@
 {
   Fixture fixture = begin ();
   Admission *admission = admission_create (50, 100, fixture.clock);
-  AdmissionOrder order = { .deadline_us = clock_now (fixture.clock) + 60 * SECOND_US };
+  AdmissionParams order = { .deadline_us = clock_now (fixture.clock) + 60 * SECOND_US };
   guint started = 0;
   guint queued = 0;
   char items[40];
--- a/daemon/src/account/allowances-lend.c
+++ b/daemon/src/account/allowances-lend.c
@@ -22,7 +22,7 @@
 static void
 prune (Allowances *allowances)
 {
-  allowance_book_prune (allowances->book, is_own, allowances->fleet);
+  allowance_buckets_prune (allowances->buckets, is_own, allowances->fleet);
 }
 
 void
@@ -74,16 +74,16 @@
       res->lent = args->wanted;
       return;
     }
-  grant = allowance_book_lend (allowances->book, args->account, &terms, share,
-                               allowance_fleet_lends_since_us (allowances->fleet),
-                               args->wanted);
+  grant = allowance_buckets_lend (allowances->buckets, args->account, &terms, share,
+                                  allowance_fleet_lends_since_us (allowances->fleet),
+                                  args->wanted);
   res->lent = grant.lent;
   res->retry_after_ms = (u_int)(grant.retry_after_us / MS_US);
 }
 
 void
 allowances_log (const Allowances *allowances,
-                const ExchangeOrder *order,
+                const ExchangeParams *order,
                 const AllowanceVerdict *verdict)
 {
   const Node *node = allowances->node;
--- a/daemon/src/account/allowances-private.h
+++ b/daemon/src/account/allowances-private.h
@@ -14,7 +14,7 @@
 typedef struct
 {
   Queue *queue;
-  ExchangeOrder order; /* holds references to its request and snapshot */
+  ExchangeParams order; /* holds references to its request and snapshot */
   char *id;
 } Waiter;
 
@@ -36,7 +36,7 @@
 struct Allowances
 {
   Node *node;
-  AllowanceBook *book;
+  AllowanceBuckets *buckets;
   AllowanceCache *cache;
   AllowanceFleet *fleet;
   GHashTable *queues; /* account → Queue */
--- a/daemon/src/account/allowances.c
+++ b/daemon/src/account/allowances.c
@@ -21,7 +21,7 @@
    nodes of a fleet that has just started know each other within a second. */
 #define UNKNOWN_WAIT_DIVISOR 2
 #define UNKNOWN_WAIT_DEFAULT_US (250 * MS_US)
-#define LOOK_AGAIN_US (25 * MS_US)
+#define RECHECK_INTERVAL_US (25 * MS_US)
 /* While the last answer of a lender is younger than this, the allowance counts as
    exceeded and not as unknown. */
 #define ANSWER_FRESH_US (2 * SECOND_US)
@@ -173,7 +173,7 @@
   else
     refuse_overdue (queue, clock_now (queue->allowances->node->clock));
   if (queue->waiters.length > 0)
-    loop_timer_start (queue->again, LOOK_AGAIN_US);
+    loop_timer_start (queue->again, RECHECK_INTERVAL_US);
 }
 
 /* Handles a lender's answer; NULL when there was none. */
@@ -285,7 +285,7 @@
 }
 
 static void
-enqueue (Queue *queue, const ExchangeOrder *order)
+enqueue (Queue *queue, const ExchangeParams *order)
 {
   Waiter *waiter = g_new0 (Waiter, 1);
 
@@ -322,10 +322,10 @@
 
 /* A new request goes behind those that already wait. */
 void
-allowances_check (Allowances *allowances, const ExchangeOrder *order)
+allowances_check (Allowances *allowances, const ExchangeParams *order)
 {
   static const AllowanceVerdict granted = { ALLOWANCE_GRANTED, 0 };
-  ExchangeOrder lent = *order;
+  ExchangeParams lent = *order;
   Queue *queue;
 
   if (!order->account || order->account->per_s <= 0)
@@ -367,7 +367,8 @@
   Allowances *allowances = g_new0 (Allowances, 1);
 
   allowances->node = node;
-  allowances->book = allowance_book_create (&node->settings->allowance, node->clock);
+  allowances->buckets =
+      allowance_buckets_create (&node->settings->allowance, node->clock);
   allowances->cache = allowance_cache_create (node->clock);
   allowances->fleet = allowance_fleet_create (node);
   allowances->queues = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, queue_free);
@@ -389,6 +390,6 @@
   g_hash_table_unref (allowances->queues);
   allowance_fleet_destroy (allowances->fleet);
   allowance_cache_destroy (allowances->cache);
-  allowance_book_destroy (allowances->book);
+  allowance_buckets_destroy (allowances->buckets);
   g_free (allowances);
 }
--- a/daemon/src/account/allowances.h
+++ b/daemon/src/account/allowances.h
@@ -29,7 +29,7 @@
 
 /* Called once for each request that is checked, unless its caller hangs up first. `order`
    is valid only during the call. */
-typedef void (*AllowanceDone) (ExchangeOrder *order,
+typedef void (*AllowanceDone) (ExchangeParams *order,
                                const AllowanceVerdict *verdict,
                                gpointer data);
 
@@ -39,7 +39,7 @@
 
 /* Checks a request against its account's allowance. The function set above runs within
    this call or later; requests that wait keep their own references. */
-void allowances_check (Allowances *allowances, const ExchangeOrder *order);
+void allowances_check (Allowances *allowances, const ExchangeParams *order);
 
 /* Refuses all waiting requests, for a stop; returns their number. */
 guint allowances_abort (Allowances *allowances);
@@ -57,7 +57,7 @@
 
 /* Counts a refused request, and logs one line with the reason. */
 void allowances_log (const Allowances *allowances,
-                     const ExchangeOrder *order,
+                     const ExchangeParams *order,
                      const AllowanceVerdict *verdict);
 
 #endif
--- a/daemon/src/account/identity.c
+++ b/daemon/src/account/identity.c
@@ -36,9 +36,9 @@
                const Route *route,
                const char *tenant)
 {
-  Identity identity = { .identified = is_key_checked (dialect, snapshot, route) };
+  Identity identity = { .key_checked = is_key_checked (dialect, snapshot, route) };
 
-  if (!identity.identified)
+  if (!identity.key_checked)
     return identity;
   identity.credentials =
       credentials_read (http_request_headers (request), identity.digest);
--- a/daemon/src/account/identity.h
+++ b/daemon/src/account/identity.h
@@ -14,7 +14,7 @@
 typedef struct
 {
   const Account *account; /* borrowed from the snapshot; NULL for none */
-  gboolean identified;    /* the key was checked here and is not passed to the target */
+  gboolean key_checked;   /* the key was checked here and is not passed to the target */
   guint status;           /* HTTP status of the refusal; 0 when the caller is accepted */
   Credentials credentials;
   guint8 digest[CONFIG_KEY_DIGEST_LEN]; /* set for CREDENTIALS_KEY */
--- a/daemon/src/config/confirm.c
+++ b/daemon/src/config/confirm.c
@@ -7,7 +7,7 @@
 
 /* Failed platform calls after which a confirmation gives up. */
 #define TRIES_MAX 4u
-#define TRY_PAUSE_US (200 * MS_US)
+#define CONFIRM_RETRY_US (200 * MS_US)
 
 typedef struct
 {
@@ -49,7 +49,7 @@
 
 /* Calls `next` after a pause, or gives up after TRIES_MAX failures. */
 static void
-try_again (Confirm *confirm, void (*next) (gpointer data))
+schedule_retry (Confirm *confirm, void (*next) (gpointer data))
 {
   if (++confirm->tries >= TRIES_MAX)
     {
@@ -57,7 +57,7 @@
       return;
     }
   confirm->next = next;
-  loop_timer_start (confirm->timer, TRY_PAUSE_US);
+  loop_timer_start (confirm->timer, CONFIRM_RETRY_US);
 }
 
 static void
@@ -77,7 +77,7 @@
   if (result->outcome == PLATFORM_CONFLICT)
     read_head (confirm);
   else
-    try_again (confirm, read_head);
+    schedule_retry (confirm, read_head);
 }
 
 static void
@@ -126,7 +126,7 @@
     }
   if (result->outcome != PLATFORM_OK)
     {
-      try_again (confirm, read_head);
+      schedule_retry (confirm, read_head);
       return;
     }
   faults = json_faults_create ();
@@ -159,7 +159,7 @@
       write_part (confirm);
       return;
     }
-  try_again (confirm, write_part);
+  schedule_retry (confirm, write_part);
 }
 
 static void
--- a/daemon/src/config/platform.c
+++ b/daemon/src/config/platform.c
@@ -50,7 +50,7 @@
 }
 
 static void
-send_order (Node *node, HttpOrder *order, PlatformDone done, gpointer data)
+send_http_call (Node *node, HttpCallParams *order, PlatformDone done, gpointer data)
 {
   Call *call = g_new0 (Call, 1);
 
@@ -75,9 +75,9 @@
 platform_get (Node *node, const char *key, PlatformDone done, gpointer data)
 {
   g_autofree char *url = object_url (node, key);
-  HttpOrder order = { .method = "GET", .url = url };
+  HttpCallParams order = { .method = "GET", .url = url };
 
-  send_order (node, &order, done, data);
+  send_http_call (node, &order, done, data);
 }
 
 void
@@ -88,10 +88,10 @@
   g_autofree char *escaped = g_uri_escape_string (version, NULL, FALSE);
   g_autofree char *url =
       g_strdup_printf ("%s?after=%s&wait_ms=%d", base, escaped, WATCH_MS);
-  HttpOrder order = { .method = "GET", .url = url };
+  HttpCallParams order = { .method = "GET", .url = url };
 
   order.timeout_us = WATCH_MS * MS_US + CALL_TIMEOUT_US;
-  send_order (node, &order, done, data);
+  send_http_call (node, &order, done, data);
 }
 
 void
@@ -105,7 +105,7 @@
 {
   g_autofree char *url = object_url (node, key);
   g_autoptr (GArray) headers = http_headers_new ();
-  HttpOrder order = { .method = "PUT", .url = url, .headers = headers };
+  HttpCallParams order = { .method = "PUT", .url = url, .headers = headers };
 
   if (*version)
     http_headers_add (headers, "If-Match", version);
@@ -114,7 +114,7 @@
   order.body = body;
   order.body_len = len;
   order.has_body = TRUE;
-  send_order (node, &order, done, data);
+  send_http_call (node, &order, done, data);
 }
 
 void
@@ -123,9 +123,9 @@
   g_autoptr (GArray) headers = http_headers_new ();
   g_autofree char *url =
       g_strdup_printf ("http://%s/v1/vms", node->settings->platform_address);
-  HttpOrder order = { .method = "GET", .url = url, .headers = headers };
+  HttpCallParams order = { .method = "GET", .url = url, .headers = headers };
 
   if (*version)
     http_headers_add (headers, "If-None-Match", version);
-  send_order (node, &order, done, data);
+  send_http_call (node, &order, done, data);
 }
--- a/daemon/src/member/gossip-private.h
+++ b/daemon/src/member/gossip-private.h
@@ -1,6 +1,6 @@
 /*
  * Shared by the files of gossip: gossip.c runs the protocol, gossip-send.c sends its
- * datagrams, gossip-news.c writes and applies membership updates, and gossip-repair.c
+ * datagrams, gossip-updates.c writes and applies membership updates, and gossip-repair.c
  * compares views.
  */
 #ifndef DAEMON_GOSSIP_PRIVATE_H
@@ -32,13 +32,13 @@
                        guint32 xid);
 void gossip_send_reply (Gossip *gossip, const char *address, const char *to, guint32 xid);
 
-/* Fills a message's rumours and briefs for `to`, NULL for an unknown receiver. They
-   borrow their data from the membership; gossip_clear_news frees the arrays. */
-void gossip_fill_news (Node *node, const char *to, sw_gossip *message);
-void gossip_clear_news (sw_gossip *message);
+/* Fills a message's rumours and deltas for `to`, NULL for an unknown receiver. They
+   borrow their data from the membership; gossip_clear_updates frees the arrays. */
+void gossip_fill_updates (Node *node, const char *to, sw_gossip *message);
+void gossip_clear_updates (sw_gossip *message);
 
-/* Merges a message's rumours and briefs. Returns TRUE if any of them was new. */
-gboolean gossip_merge_news (Node *node, const sw_gossip *message);
+/* Merges a message's rumours and deltas. Returns TRUE if any of them was new. */
+gboolean gossip_merge_updates (Node *node, const sw_gossip *message);
 
 /* Passes a change of `member` on to the balancer, the configuration sync and the
    allowances; `data` is the Node. */
--- a/daemon/src/member/gossip-send.c
+++ b/daemon/src/member/gossip-send.c
@@ -17,7 +17,7 @@
   message->digest = members_digest (node->members);
   if (!message->subject)
     message->subject = "";
-  gossip_fill_news (node, to, message);
+  gossip_fill_updates (node, to, message);
   quarantine_node_fill_gossip (node->quarantine, to, message);
   message->store_era = platform_era_get (node->era);
   config_sync_fill_evacuations (node->config, &message->evacuations);
@@ -26,7 +26,7 @@
 static void
 clear_gossip (sw_gossip *message)
 {
-  gossip_clear_news (message);
+  gossip_clear_updates (message);
   quarantine_node_clear_gossip (message);
   config_sync_clear_evacuations (&message->evacuations);
 }
@@ -37,17 +37,19 @@
 {
   Node *node = gossip->node;
   gboolean own_hall = peers_in_own_hall (node, to);
-  gsize news = 0;
+  gsize update_bytes = 0;
 
   for (guint i = 0; i < message->rumours.rumours_len; i++)
-    news += xdr_sizeof ((xdrproc_t)xdr_sw_rumour, &message->rumours.rumours_val[i]);
-  for (guint i = 0; i < message->briefs.briefs_len; i++)
-    news += xdr_sizeof ((xdrproc_t)xdr_sw_brief, &message->briefs.briefs_val[i]);
+    update_bytes +=
+        xdr_sizeof ((xdrproc_t)xdr_sw_rumour, &message->rumours.rumours_val[i]);
+  for (guint i = 0; i < message->deltas.deltas_len; i++)
+    update_bytes +=
+        xdr_sizeof ((xdrproc_t)xdr_sw_member_delta, &message->deltas.deltas_val[i]);
   for (guint i = 0; i < message->quarantine.quarantine_len; i++)
-    news +=
+    update_bytes +=
         xdr_sizeof ((xdrproc_t)xdr_sw_quarantine, &message->quarantine.quarantine_val[i]);
-  traffic_add (node->traffic, TRAFFIC_RUMOURS, own_hall, news);
-  traffic_add (node->traffic, TRAFFIC_PROBES, own_hall, bytes - news);
+  traffic_add (node->traffic, TRAFFIC_RUMOURS, own_hall, update_bytes);
+  traffic_add (node->traffic, TRAFFIC_PROBES, own_hall, bytes - update_bytes);
 }
 
 void
--- a/daemon/src/member/gossip-news.c
+++ b/daemon/src/member/gossip-updates.c
@@ -8,23 +8,23 @@
 #include "rumour.h"
 
 /* With this bound two full messages a second each way stay under 3 KB/s for control. */
-#define NEWS_BYTES_MAX 550u
+#define UPDATES_BYTES_MAX 550u
 
 void
-gossip_fill_news (Node *node, const char *to, sw_gossip *message)
+gossip_fill_updates (Node *node, const char *to, sw_gossip *message)
 {
-  const GArray *news = members_next_news (node->members, to, NEWS_BYTES_MAX);
-  guint count = MIN (news->len, SW_RUMOURS_MAX);
+  const GArray *updates = members_next_updates (node->members, to, UPDATES_BYTES_MAX);
+  guint count = MIN (updates->len, SW_RUMOURS_MAX);
 
   message->rumours.rumours_val = g_new0 (sw_rumour, count + 1);
-  message->briefs.briefs_val = g_new0 (sw_brief, count + 1);
+  message->deltas.deltas_val = g_new0 (sw_member_delta, count + 1);
   for (guint i = 0; i < count; i++)
     {
-      const MemberNews *item = &g_array_index (news, MemberNews, i);
+      const MemberUpdate *item = &g_array_index (updates, MemberUpdate, i);
 
       if (item->delta)
         rumour_fill_delta (item->member,
-                           &message->briefs.briefs_val[message->briefs.briefs_len++]);
+                           &message->deltas.deltas_val[message->deltas.deltas_len++]);
       else
         rumour_fill (item->member,
                      &message->rumours.rumours_val[message->rumours.rumours_len++]);
@@ -32,21 +32,21 @@
 }
 
 void
-gossip_clear_news (sw_gossip *message)
+gossip_clear_updates (sw_gossip *message)
 {
   g_free (message->rumours.rumours_val);
-  g_free (message->briefs.briefs_val);
+  g_free (message->deltas.deltas_val);
 }
 
 gboolean
-gossip_merge_news (Node *node, const sw_gossip *message)
+gossip_merge_updates (Node *node, const sw_gossip *message)
 {
   gboolean any = FALSE;
 
   for (guint i = 0; i < message->rumours.rumours_len; i++)
     any |= rumour_merge (node->members, &message->rumours.rumours_val[i]);
-  for (guint i = 0; i < message->briefs.briefs_len; i++)
-    any |= rumour_merge_delta (node->members, &message->briefs.briefs_val[i]);
+  for (guint i = 0; i < message->deltas.deltas_len; i++)
+    any |= rumour_merge_delta (node->members, &message->deltas.deltas_val[i]);
   return any;
 }
 
--- a/daemon/src/member/gossip.c
+++ b/daemon/src/member/gossip.c
@@ -63,12 +63,12 @@
 merge_message (Gossip *gossip, const sw_gossip *message)
 {
   Node *node = gossip->node;
-  gboolean any = gossip_merge_news (node, message);
+  gboolean any = gossip_merge_updates (node, message);
 
   if (any && !peers_in_own_hall (node, message->from))
     loop_timer_start (gossip->forward_timer, FORWARD_DELAY_US);
   if (quarantine_node_merge_gossip (node->quarantine, message))
-    gossip_schedule_quarantine_news (gossip);
+    gossip_schedule_quarantine_updates (gossip);
   config_sync_note_generation (node->config, message->from, message->generation);
   platform_era_note (node->era, message->store_era);
   config_sync_merge_evacuations (node->config, &message->evacuations);
@@ -235,7 +235,7 @@
     {
       const Member *member = g_ptr_array_index (some, i);
 
-      gossip_send_call (gossip, member->address, member->node, SW_NEWS, NULL,
+      gossip_send_call (gossip, member->address, member->node, SW_UPDATES, NULL,
                         RELAY_SEQUENCE_BIT | ++gossip->relay_sequence);
     }
 }
@@ -258,8 +258,9 @@
   Gossip *gossip = data;
   const QuarantineNode *quarantine = gossip->node->quarantine;
 
-  gossip->spread_urgent = quarantine_node_urgency (quarantine) == QUARANTINE_NEWS_URGENT;
-  if (quarantine_node_urgency (quarantine) == QUARANTINE_NEWS_NONE)
+  gossip->spread_urgent =
+      quarantine_node_urgency (quarantine) == QUARANTINE_UPDATES_URGENT;
+  if (quarantine_node_urgency (quarantine) == QUARANTINE_UPDATES_NONE)
     return;
   tell (gossip, SPREAD_NEAR, SPREAD_FAR);
   loop_timer_start (gossip->spread,
@@ -267,16 +268,16 @@
 }
 
 void
-gossip_schedule_quarantine_news (Gossip *gossip)
+gossip_schedule_quarantine_updates (Gossip *gossip)
 {
   QuarantineUrgency urgency = quarantine_node_urgency (gossip->node->quarantine);
   gboolean waits = loop_timer_is_started (gossip->spread);
 
   /* Urgent updates do not wait for a timer that was started for others. */
-  if (urgency == QUARANTINE_NEWS_NONE ||
-      (waits && (urgency != QUARANTINE_NEWS_URGENT || gossip->spread_urgent)))
+  if (urgency == QUARANTINE_UPDATES_NONE ||
+      (waits && (urgency != QUARANTINE_UPDATES_URGENT || gossip->spread_urgent)))
     return;
-  gossip->spread_urgent = urgency == QUARANTINE_NEWS_URGENT;
+  gossip->spread_urgent = urgency == QUARANTINE_UPDATES_URGENT;
   loop_timer_start (gossip->spread, SPREAD_FIRST_US);
 }
 
--- a/daemon/src/member/gossip.h
+++ b/daemon/src/member/gossip.h
@@ -20,7 +20,7 @@
 
 /* Starts to send the quarantine's updates to a few members at intervals, until each has
    been sent often enough. */
-void gossip_schedule_quarantine_news (Gossip *gossip);
+void gossip_schedule_quarantine_updates (Gossip *gossip);
 
 /* A node's address as discovery reports it. */
 typedef struct
--- a/daemon/src/member/peers.c
+++ b/daemon/src/member/peers.c
@@ -28,7 +28,7 @@
   char *vm;
   PeersOpened opened;
   gpointer data;
-} Opening;
+} PendingOpen;
 
 struct Peers
 {
@@ -192,7 +192,7 @@
 static void
 on_hello (RpcOutcome outcome, void *result, gpointer data)
 {
-  Opening *opening = data;
+  PendingOpen *opening = data;
   Peers *peers = opening->peers;
   Peer *peer = find_peer (peers, opening->vm);
   sw_hello_res *res = result;
@@ -267,7 +267,7 @@
 call_hello (
     Peers *peers, Peer *peer, gint64 timeout_us, PeersOpened opened, gpointer data)
 {
-  Opening *opening = g_new0 (Opening, 1);
+  PendingOpen *opening = g_new0 (PendingOpen, 1);
   sw_hello_args args = { .token = peers->node->settings->fleet_token };
 
   opening->peers = peers;
--- a/daemon/src/member/rumour.c
+++ b/daemon/src/member/rumour.c
@@ -31,7 +31,7 @@
 }
 
 void
-rumour_fill_delta (const Member *member, sw_brief *words)
+rumour_fill_delta (const Member *member, sw_member_delta *words)
 {
   MemberDelta delta = members_delta (member);
 
@@ -77,7 +77,7 @@
 }
 
 gboolean
-rumour_merge_delta (Members *members, const sw_brief *words)
+rumour_merge_delta (Members *members, const sw_member_delta *words)
 {
   g_autoptr (GBytes) state = NULL;
   MemberDelta delta = {
--- a/daemon/src/node/node.c
+++ b/daemon/src/node/node.c
@@ -216,9 +216,9 @@
 }
 
 static void
-on_quarantine_news (gpointer data)
+on_quarantine_updates (gpointer data)
 {
-  gossip_schedule_quarantine_news (((Node *)data)->gossip);
+  gossip_schedule_quarantine_updates (((Node *)data)->gossip);
 }
 
 static gboolean
@@ -233,7 +233,7 @@
   node->gossip = gossip_create (node, error);
   if (!node->gossip)
     return FALSE;
-  quarantine_node_set_notify (node->quarantine, on_quarantine_news, node);
+  quarantine_node_set_notify (node->quarantine, on_quarantine_updates, node);
   run->rpc = rpc_server_create (node->loop, node->settings->nodes_address, &limits,
                                 calls_handle, node, error);
   if (!run->rpc)
@@ -281,7 +281,7 @@
 
 /* Counts and logs a long turn of the loop, because no request was served during it. */
 static void
-on_long_turn (const LoopTurn *turn, gpointer data)
+on_long_iteration (const LoopIteration *turn, gpointer data)
 {
   Node *node = data;
   g_autofree char *cpu = g_strdup_printf ("%" G_GINT64_FORMAT, turn->cpu_us);
@@ -334,7 +334,7 @@
   if (create_listeners (run, error) && create_optional_listeners (node, error))
     {
       start_platform (node);
-      loop_set_turn_func (loop, on_long_turn, node);
+      loop_set_iteration_func (loop, on_long_iteration, node);
       return run;
     }
   node_run_destroy (run);
@@ -346,7 +346,7 @@
 {
   Node *node = &run->node;
 
-  loop_set_turn_func (node->loop, NULL, NULL);
+  loop_set_iteration_func (node->loop, NULL, NULL);
   /* Parts that run callbacks are destroyed before the parts that the callbacks use. */
   worker_destroy (node->worker);
   if (node->adapter->discovery_destroy)
--- a/daemon/src/quarantine/quarantine-node.c
+++ b/daemon/src/quarantine/quarantine-node.c
@@ -210,16 +210,17 @@
                              const char *to,
                              sw_gossip *message)
 {
-  QuarantineNews news[SW_QUARANTINE_MAX];
+  QuarantineUpdate updates[SW_QUARANTINE_MAX];
   gboolean all = to && g_hash_table_remove (quarantine->behind, to);
-  guint count = all ? quarantine_next_part (quarantine->list, news, SW_QUARANTINE_MAX)
-                    : quarantine_next_news (quarantine->list, news, SW_QUARANTINE_MAX);
+  guint count =
+      all ? quarantine_next_part (quarantine->list, updates, SW_QUARANTINE_MAX)
+          : quarantine_next_updates (quarantine->list, updates, SW_QUARANTINE_MAX);
 
   message->quarantine_digest = quarantine_digest (quarantine->list);
   message->quarantine.quarantine_val = g_new0 (sw_quarantine, count + 1);
   message->quarantine.quarantine_len = count;
   for (guint i = 0; i < count; i++)
-    quarantine_wire_fill (&news[i], &message->quarantine.quarantine_val[i]);
+    quarantine_wire_fill (&updates[i], &message->quarantine.quarantine_val[i]);
 }
 
 void
@@ -237,10 +238,10 @@
 
   for (guint i = 0; i < message->quarantine.quarantine_len; i++)
     {
-      QuarantineNews news;
+      QuarantineUpdate update;
 
-      if (quarantine_wire_read (&message->quarantine.quarantine_val[i], &news))
-        any |= quarantine_merge (quarantine->list, &news);
+      if (quarantine_wire_read (&message->quarantine.quarantine_val[i], &update))
+        any |= quarantine_merge (quarantine->list, &update);
     }
   if (any)
     metrics_add (quarantine->node->metrics, METRIC_QUARANTINE_NEWS, 1);
--- a/daemon/src/quarantine/quarantine-wire.h
+++ b/daemon/src/quarantine/quarantine-wire.h
@@ -9,8 +9,8 @@
 #include <wire/message.h>
 
 /* Fills in `words`; the caller frees its array of ends. */
-void quarantine_wire_fill (const QuarantineNews *news, sw_quarantine *words);
+void quarantine_wire_fill (const QuarantineUpdate *update, sw_quarantine *words);
 /* Returns FALSE if `words` has more than QUARANTINE_ENDS_KEPT ends. */
-gboolean quarantine_wire_read (const sw_quarantine *words, QuarantineNews *news);
+gboolean quarantine_wire_read (const sw_quarantine *words, QuarantineUpdate *update);
 
 #endif
--- a/daemon/src/request/attempt-send.c
+++ b/daemon/src/request/attempt-send.c
@@ -29,7 +29,7 @@
 static void
 on_submitted (RpcOutcome outcome, void *result, gpointer data)
 {
-  Pending *pending = data;
+  PendingCall *pending = data;
   Attempt *attempt = pending->attempt;
 
   if (attempt)
@@ -66,7 +66,7 @@
       const HttpHeader *header = &g_array_index (headers, HttpHeader, i);
 
       if (!http_header_is_hop (header->name) &&
-          dialect->forwards (header->name, exchange->identified))
+          dialect->forwards (header->name, exchange->key_checked))
         http_headers_add (forwarded, header->name, header->value);
     }
   return forwarded;
@@ -156,7 +156,7 @@
   fill_headers (headers, &args);
   attempt->submitted = TRUE;
   metrics_add (node->metrics, METRIC_ATTEMPTS, 1);
-  attempt->pending = g_new0 (Pending, 1);
+  attempt->pending = g_new0 (PendingCall, 1);
   attempt->pending->attempt = attempt;
   attempt->watch = peer_watch_create (node, attempt->target->vm, on_node_lost, attempt);
   attempt->sent_bytes = xdr_sizeof ((xdrproc_t)xdr_sw_submit_args, &args);
@@ -180,7 +180,7 @@
 static void
 on_slot_answer (RpcOutcome outcome, void *result, gpointer data)
 {
-  Pending *pending = data;
+  PendingCall *pending = data;
   Attempt *attempt = pending->attempt;
   sw_submit_res *res = result;
 
@@ -204,7 +204,7 @@
 static void
 on_ping_answer (RpcOutcome outcome, void *result, gpointer data)
 {
-  Pending *pending = data;
+  PendingCall *pending = data;
   Attempt *attempt = pending->attempt;
 
   g_free (pending);
@@ -223,7 +223,7 @@
 {
   Node *node = attempt->exchange->owner->node;
 
-  attempt->pending = g_new0 (Pending, 1);
+  attempt->pending = g_new0 (PendingCall, 1);
   attempt->pending->attempt = attempt;
   peers_ping (node->peers, attempt->target->vm,
               MIN (attempt->wait_us, NODE_PING_TIMEOUT_US), on_ping_answer,
@@ -238,7 +238,7 @@
   sw_submit_args args = { .phase = SW_ASK, .method = "", .path = "" };
 
   fill_attempt_args (attempt, &args);
-  attempt->pending = g_new0 (Pending, 1);
+  attempt->pending = g_new0 (PendingCall, 1);
   attempt->pending->attempt = attempt;
   attempt->sent_bytes = xdr_sizeof ((xdrproc_t)xdr_sw_submit_args, &args);
   peers_call (
@@ -341,8 +341,9 @@
   balancer_attempt_started (node->balancer, attempt->target->name);
   if (!attempt->exchange->ticket && !peers_has_session (node->peers, attempt->target->vm))
     {
-      attempt->patience = loop_timer_create (node->loop, on_session_wait_over, attempt);
-      loop_timer_start (attempt->patience, SESSION_WAIT_MAX_US);
+      attempt->session_timer =
+          loop_timer_create (node->loop, on_session_wait_over, attempt);
+      loop_timer_start (attempt->session_timer, SESSION_WAIT_MAX_US);
     }
   peers_open (node->peers, attempt->target->vm, MIN (wait_us, OPEN_TIMEOUT_US),
               on_session, attempt);
--- a/daemon/src/request/attempt.c
+++ b/daemon/src/request/attempt.c
@@ -45,7 +45,7 @@
 static void
 attempt_free (Attempt *attempt)
 {
-  loop_timer_destroy (attempt->patience);
+  loop_timer_destroy (attempt->session_timer);
   g_clear_pointer (&attempt->targets, snapshot_unref);
   g_free (attempt);
 }
@@ -57,7 +57,7 @@
     return;
   attempt_detach (attempt);
   attempt->exchange = NULL;
-  g_clear_pointer (&attempt->patience, loop_timer_destroy);
+  g_clear_pointer (&attempt->session_timer, loop_timer_destroy);
   /* peers_open still calls back with the attempt; attempt_session_opened frees it then.
    */
   if (!attempt->opening)
@@ -68,7 +68,7 @@
 attempt_session_opened (Attempt *attempt)
 {
   attempt->opening = FALSE;
-  g_clear_pointer (&attempt->patience, loop_timer_destroy);
+  g_clear_pointer (&attempt->session_timer, loop_timer_destroy);
   if (attempt->exchange)
     return TRUE;
   attempt_free (attempt);
@@ -175,7 +175,7 @@
 }
 
 static char *
-take_tried (Exchange *exchange, const char *name)
+remove_tried (Exchange *exchange, const char *name)
 {
   for (guint i = exchange->tried->len; i-- > 0;)
     if (strcmp (g_ptr_array_index (exchange->tried, i), name) == 0)
@@ -200,7 +200,7 @@
   if (reason != REASON_SICK && reason != REASON_OVERLOAD && reason != REASON_BUDGET &&
       reason != REASON_UNPROVED)
     return;
-  name = take_tried (exchange, attempt->target->name);
+  name = remove_tried (exchange, attempt->target->name);
   if (!name)
     return;
   if (reason == REASON_SICK || reason == REASON_UNPROVED)
--- a/daemon/src/request/dialect-own.c
+++ b/daemon/src/request/dialect-own.c
@@ -46,10 +46,10 @@
 }
 
 static gboolean
-forwards (const char *name, gboolean identified)
+forwards (const char *name, gboolean key_checked)
 {
   return !is_own (name) &&
-         !(identified && g_ascii_strcasecmp (name, CREDENTIALS_HEADER) == 0);
+         !(key_checked && g_ascii_strcasecmp (name, CREDENTIALS_HEADER) == 0);
 }
 
 static void
--- a/daemon/src/request/dialect.h
+++ b/daemon/src/request/dialect.h
@@ -37,9 +37,9 @@
 {
   /* Fills `words`; returns NULL, or an error message for the caller. */
   const char *(*decode) (const HttpRequest *request, CallerRequest *words);
-  /* Whether a caller's header is forwarded to the target; with `identified`, the fleet
+  /* Whether a caller's header is forwarded to the target; with `key_checked`, the fleet
      has checked the access key, which is then not forwarded. */
-  gboolean (*forwards) (const char *name, gboolean identified);
+  gboolean (*forwards) (const char *name, gboolean key_checked);
   /* Adds the ingress's headers for the target to `headers`; `account` is the id of the
      request's account, or NULL. */
   void (*add_origin) (const Settings *settings, const char *account, GArray *headers);
--- a/daemon/src/request/exchange-choice.c
+++ b/daemon/src/request/exchange-choice.c
@@ -11,7 +11,7 @@
 /* A node counts as newly started until the targets' heartbeats (one in 1.5 s each) have
    arrived and gossip has spread them. */
 #define STARTUP_US (2 * SECOND_US)
-#define LOOK_AGAIN_US (25 * MS_US)
+#define RECHECK_INTERVAL_US (25 * MS_US)
 
 /* Looks the service up in the newest configuration. */
 static void
@@ -42,7 +42,7 @@
 /* Returns the names, borrowed, of targets that are not chosen: those already tried, and
    except at PLACEMENT_LAST_QUEUE those without a free slot. */
 static GPtrArray *
-excluded (const Exchange *exchange)
+excluded_targets (const Exchange *exchange)
 {
   GPtrArray *names = g_ptr_array_copy (exchange->tried, NULL, NULL);
   gboolean waits = exchange->placement.step == PLACEMENT_LAST_QUEUE;
@@ -60,7 +60,7 @@
              BalancerShedding shedding)
 {
   const Exchange *exchange = attempt->exchange;
-  g_autoptr (GPtrArray) names = excluded (exchange);
+  g_autoptr (GPtrArray) names = excluded_targets (exchange);
   BalancerCriteria criteria = { trial, halls, shedding, names->len ? names : NULL };
 
   return balancer_choose (exchange->owner->node->balancer, attempt->service, &criteria);
@@ -110,7 +110,7 @@
 /* Whether the choice fits the step: at PLACEMENT_OWN_FREE the balancer may also return a
    target of another hall. */
 static gboolean
-suits (const BalancerChoice *choice, PlacementStep step)
+matches_step (const BalancerChoice *choice, PlacementStep step)
 {
   if (!choice->target)
     return FALSE;
@@ -132,7 +132,7 @@
       if (step == PLACEMENT_EXHAUSTED)
         break;
       choice = choose_for_step (attempt, step);
-      if (suits (&choice, step))
+      if (matches_step (&choice, step))
         break;
       placement_skip (&exchange->placement);
     }
@@ -157,7 +157,7 @@
 
   return clock_now (node->clock) - node->started_us < STARTUP_US &&
          dispatch_arrivals (exchange->dispatch) == 0 &&
-         exchange_slack_us (exchange) > LOOK_AGAIN_US;
+         exchange_slack_us (exchange) > RECHECK_INTERVAL_US;
 }
 
 static void
@@ -166,7 +166,7 @@
   exchange->placement = (Placement){ 0 };
   g_ptr_array_set_size (exchange->tried, 0);
   g_ptr_array_set_size (exchange->busy, 0);
-  loop_timer_start (exchange->timer, LOOK_AGAIN_US);
+  loop_timer_start (exchange->timer, RECHECK_INTERVAL_US);
 }
 
 /* Stores the choice in the attempt; returns FALSE if there is no target. */
--- a/daemon/src/request/exchange-hedge.c
+++ b/daemon/src/request/exchange-hedge.c
@@ -48,7 +48,7 @@
   exchange->hedges++;
   exchange->hedge = attempt;
   dispatch_hedge_sent (exchange->dispatch);
-  attempt->retry = RETRY_AGAIN;
+  attempt->retry = RETRY_FURTHER_ATTEMPT;
   log_event (G_LOG_LEVEL_INFO, "hedge", "ID", exchange->id, "TARGET",
              attempt->target->name, "BESIDE", exchange->attempt->target->name, NULL);
   metrics_add (exchange->owner->node->metrics, METRIC_HEDGES, 1);
@@ -78,7 +78,7 @@
 
 /* Continues with the hedge's answer, and cancels the first attempt. */
 static void
-win (Exchange *exchange)
+adopt_hedge (Exchange *exchange)
 {
   DispatchStep step;
 
@@ -96,7 +96,7 @@
 {
   if (report == DISPATCH_DONE)
     {
-      win (exchange);
+      adopt_hedge (exchange);
       return;
     }
   attempt_destroy (exchange->hedge);
--- a/daemon/src/request/exchange-private.h
+++ b/daemon/src/request/exchange-private.h
@@ -26,7 +26,7 @@
 typedef struct
 {
   Attempt *attempt; /* NULL once the result is no longer wanted */
-} Pending;
+} PendingCall;
 
 struct Exchanges
 {
@@ -61,9 +61,9 @@
   gboolean opening;     /* a session is being opened */
   gboolean out;         /* counted at the balancer as in flight */
   gboolean submitted;   /* a sidecar may have the request */
-  Pending *pending;     /* the call in flight, or NULL */
+  PendingCall *pending; /* the call in flight, or NULL */
   PeerWatch *watch;     /* on the target's node while the request is there */
-  LoopTimer *patience;  /* bounds the opening of a session; NULL at other times */
+  LoopTimer *session_timer; /* bounds the opening of a session; NULL at other times */
 };
 
 struct Exchange
@@ -76,7 +76,7 @@
   char *service; /* the name; of the service picked, where the route is split */
   char *tenant;
   const Account *account; /* of `snapshot`, also after a new configuration; or NULL */
-  gboolean identified;    /* the access key was checked and is not forwarded */
+  gboolean key_checked;   /* the access key was checked and is not forwarded */
   guint priority;
   Ticket *ticket; /* or NULL */
   Dispatch *dispatch;
--- a/daemon/src/request/exchange-quarantine.c
+++ b/daemon/src/request/exchange-quarantine.c
@@ -21,7 +21,7 @@
 
   if (exchange->account)
     words.account = exchange->account->id;
-  else if (dialect->forwards (CREDENTIALS_HEADER, exchange->identified))
+  else if (dialect->forwards (CREDENTIALS_HEADER, exchange->key_checked))
     words.account = http_request_header (request, CREDENTIALS_HEADER);
   return words;
 }
--- a/daemon/src/request/exchange.c
+++ b/daemon/src/request/exchange.c
@@ -166,7 +166,7 @@
 }
 
 static Exchange *
-exchange_create (Exchanges *exchanges, const ExchangeOrder *order)
+exchange_create (Exchanges *exchanges, const ExchangeParams *order)
 {
   Node *node = exchanges->node;
   Exchange *exchange = g_new0 (Exchange, 1);
@@ -186,7 +186,7 @@
   exchange->service = g_strdup (order->service->name);
   exchange->tenant = g_strdup (order->service->tenant);
   exchange->account = order->account;
-  exchange->identified = order->identified;
+  exchange->key_checked = order->key_checked;
   exchange->priority = order->priority;
   exchange->ticket = order->ticket;
   exchange->began_us = http_request_received_us (order->request);
@@ -201,7 +201,7 @@
 }
 
 void
-exchanges_begin (Exchanges *exchanges, const ExchangeOrder *order)
+exchanges_begin (Exchanges *exchanges, const ExchangeParams *order)
 {
   Exchange *exchange = exchange_create (exchanges, order);
   DispatchStep step = dispatch_begin (exchange->dispatch);
@@ -247,7 +247,7 @@
 }
 
 void
-exchanges_issue_ticket (Exchanges *exchanges, const ExchangeOrder *order)
+exchanges_issue_ticket (Exchanges *exchanges, const ExchangeParams *order)
 {
   Exchange *exchange = exchange_create (exchanges, order);
   Attempt *attempt = attempt_create (exchange);
--- a/daemon/src/request/exchange.h
+++ b/daemon/src/request/exchange.h
@@ -22,21 +22,21 @@
   const Service *service;
   gint64 span_us;         /* from the request's arrival to its deadline */
   const Account *account; /* the client account in the snapshot; NULL for none */
-  gboolean identified;    /* the access key was checked and is not forwarded */
+  gboolean key_checked;   /* the access key was checked and is not forwarded */
   guint priority;         /* 0 is highest; ranks the account first, then the route */
   gboolean call;          /* a target makes this call for a request that it runs */
   gboolean repeat;        /* that request is not at its first attempt */
   Ticket *ticket;         /* ownership passes to the exchange; NULL for none */
-} ExchangeOrder;
+} ExchangeParams;
 
 Exchanges *exchanges_create (Node *node);
 void exchanges_destroy (Exchanges *exchanges);
 
 /* Starts an exchange, which answers the request and then frees itself. */
-void exchanges_begin (Exchanges *exchanges, const ExchangeOrder *order);
+void exchanges_begin (Exchanges *exchanges, const ExchangeParams *order);
 
 /* Answers with a ticket for the order's service instead of running the request. */
-void exchanges_issue_ticket (Exchanges *exchanges, const ExchangeOrder *order);
+void exchanges_issue_ticket (Exchanges *exchanges, const ExchangeParams *order);
 
 /* Answers all exchanges immediately, for a forced stop; returns their number. */
 guint exchanges_abort (Exchanges *exchanges);
--- a/daemon/src/request/ingress.c
+++ b/daemon/src/request/ingress.c
@@ -44,7 +44,7 @@
 
 /* Runs the request, or issues the ticket that it asks for. */
 static void
-begin (Ingress *ingress, ExchangeOrder *order)
+begin (Ingress *ingress, ExchangeParams *order)
 {
   const char *text = dialect_of (ingress)->tickets
                          ? http_request_header (order->request, TICKET_HEADER)
@@ -86,7 +86,7 @@
 
 /* Finds route and service; if there are none, answers and returns FALSE. */
 static gboolean
-find_route (Ingress *ingress, const CallerRequest *words, ExchangeOrder *order)
+find_route (Ingress *ingress, const CallerRequest *words, ExchangeParams *order)
 {
   const char *method = http_request_method (order->request);
 
@@ -102,14 +102,14 @@
 
 /* Finds the account; if the caller may not use the route, answers and returns FALSE. */
 static gboolean
-find_account (Ingress *ingress, const CallerRequest *words, ExchangeOrder *order)
+find_account (Ingress *ingress, const CallerRequest *words, ExchangeParams *order)
 {
   const Dialect *dialect = dialect_of (ingress);
   Identity identity = identity_find (dialect, order->request, order->snapshot,
                                      order->route, order->service->tenant);
 
   order->account = identity.account;
-  order->identified = identity.identified;
+  order->key_checked = identity.key_checked;
   if (!identity.status)
     return TRUE;
   identity_log (&identity, ingress->node, words->id);
@@ -121,7 +121,7 @@
 /* Marks the order as a target's call, and returns the account priority of the request for
    which the target makes it. */
 static guint
-inherit_call_context (Ingress *ingress, const CallerRequest *words, ExchangeOrder *order)
+inherit_call_context (Ingress *ingress, const CallerRequest *words, ExchangeParams *order)
 {
   SidecarCallContext terms = sidecar_call_context (ingress->node->sidecar, words->parent);
 
@@ -135,9 +135,9 @@
 {
   /* Requests without an account rank with the lowest account priority. */
   guint priority = CONFIG_ACCOUNT_PRIORITIES - 1;
-  ExchangeOrder order = { .request = request,
-                          .snapshot = config_sync_snapshot (ingress->node->config),
-                          .id = words->id };
+  ExchangeParams order = { .request = request,
+                           .snapshot = config_sync_snapshot (ingress->node->config),
+                           .id = words->id };
 
   if (!find_route (ingress, words, &order) || !find_account (ingress, words, &order))
     return;
@@ -153,7 +153,7 @@
 /* Answers "not run", because the account has exceeded its allowance, or because no lender
    of it can be asked. */
 static void
-refuse (Ingress *ingress, const ExchangeOrder *order, const AllowanceVerdict *verdict)
+refuse (Ingress *ingress, const ExchangeParams *order, const AllowanceVerdict *verdict)
 {
   gboolean exceeded = verdict->outcome == ALLOWANCE_EXCEEDED;
 
@@ -166,7 +166,7 @@
 }
 
 static void
-on_allowance (ExchangeOrder *order, const AllowanceVerdict *verdict, gpointer data)
+on_allowance (ExchangeParams *order, const AllowanceVerdict *verdict, gpointer data)
 {
   Ingress *ingress = data;
 
@@ -178,7 +178,7 @@
 
 /* Returns why this node accepts no requests at present, or NULL. */
 static const char *
-unavailable (const Ingress *ingress)
+unavailable_reason (const Ingress *ingress)
 {
   if (ingress->draining)
     return "this node is stopping; ask another";
@@ -194,7 +194,7 @@
   const Dialect *dialect = dialect_of (ingress);
   CallerRequest words = { 0 };
   const char *fault;
-  const char *why = unavailable (ingress);
+  const char *why = unavailable_reason (ingress);
 
   if (!ingress->draining && start_queue_is_open (ingress->start_queue))
     {
--- a/daemon/src/request/start-queue.c
+++ b/daemon/src/request/start-queue.c
@@ -8,7 +8,7 @@
 #define OPEN_US SECOND_US
 /* Interval at which the queue checks whether the configuration has arrived or OPEN_US is
    over. */
-#define LOOK_US (10 * MS_US)
+#define CHECK_INTERVAL_US (10 * MS_US)
 
 typedef struct
 {
@@ -59,7 +59,7 @@
 
   if (start_queue_is_open (queue))
     {
-      loop_timer_start (queue->timer, LOOK_US);
+      loop_timer_start (queue->timer, CHECK_INTERVAL_US);
       return;
     }
   over = g_steal_pointer (&queue->waiting);
@@ -105,5 +105,5 @@
   waiting->request = http_request_ref (request);
   g_ptr_array_add (queue->waiting, waiting);
   http_request_watch_gone (request, on_caller_gone, waiting);
-  loop_timer_start (queue->timer, LOOK_US);
+  loop_timer_start (queue->timer, CHECK_INTERVAL_US);
 }
--- a/daemon/src/target/registry.c
+++ b/daemon/src/target/registry.c
@@ -33,8 +33,8 @@
   char *version; /* of the software, "" if not reported; likewise */
   guint slots;
   gboolean leaving;
-  gboolean cold; /* as last reported */
-  gboolean news; /* the registration has changed */
+  gboolean cold;    /* as last reported */
+  gboolean changed; /* the registration has changed */
 };
 
 /* The content of one heartbeat. */
@@ -83,7 +83,7 @@
   Registration registration = { target, registry->service, node->settings->target_address,
                                 registry->slots, registry->leaving };
 
-  registry->news = TRUE;
+  registry->changed = TRUE;
   config_sync_set_registration (node->config, node->settings->node, node->settings->hall,
                                 &registration);
   events_add (node->events, registry->leaving ? "target-leaves" : "target-registered",
@@ -275,11 +275,11 @@
 gboolean
 registry_take_changed (Registry *registry)
 {
-  gboolean news = registry && registry->news;
+  gboolean changed = registry && registry->changed;
 
   if (registry)
-    registry->news = FALSE;
-  return news;
+    registry->changed = FALSE;
+  return changed;
 }
 
 gboolean
--- a/daemon/src/target/sidecar-private.h
+++ b/daemon/src/target/sidecar-private.h
@@ -58,7 +58,7 @@
   Fence *fence;
   GHashTable *targets;     /* name → SidecarTarget */
   GHashTable *submissions; /* set of Submission */
-  LatencyBook *latencies;
+  LatencyStats *latencies;
   SidecarBudgets *budgets;
   SidecarHolds *holds;
   CrashWatches *ends;
@@ -119,7 +119,7 @@
 
 /* Returns the parts that identify the request when it comes again. Texts are borrowed
    from the submission. */
-FingerprintInput submission_fingerprint_words (const Submission *submission);
+FingerprintInput submission_fingerprint_input (const Submission *submission);
 
 /* Returns the latency distribution of the route: that of the service's other targets if
    it is known, else that of this VM. */
--- a/daemon/src/target/sidecar.c
+++ b/daemon/src/target/sidecar.c
@@ -131,7 +131,7 @@
   sidecar->targets = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
                                             (GDestroyNotify)sidecar_target_destroy);
   sidecar->submissions = g_hash_table_new (NULL, NULL);
-  sidecar->latencies = latency_book_create ();
+  sidecar->latencies = latency_stats_create ();
   sidecar->budgets = sidecar_budgets_create (node);
   sidecar->holds = sidecar_holds_create (node->clock);
   sidecar->ends = crash_watches_create (node, &crash_watch_owner, sidecar);
@@ -160,7 +160,7 @@
   sidecar_holds_destroy (sidecar->holds);
   crash_watches_destroy (sidecar->ends);
   g_hash_table_unref (sidecar->targets);
-  latency_book_destroy (sidecar->latencies);
+  latency_stats_destroy (sidecar->latencies);
   sidecar_budgets_destroy (sidecar->budgets);
   fence_destroy (sidecar->fence);
   g_free (sidecar);
@@ -237,7 +237,7 @@
 static gboolean
 is_repeat (const Submission *submission)
 {
-  return submission->args.retry == RETRY_AGAIN ||
+  return submission->args.retry == RETRY_FURTHER_ATTEMPT ||
          submission->args.retry == RETRY_INHERITED;
 }
 
--- a/daemon/src/target/submission-fingerprint.c
+++ b/daemon/src/target/submission-fingerprint.c
@@ -13,7 +13,7 @@
 }
 
 FingerprintInput
-submission_fingerprint_words (const Submission *submission)
+submission_fingerprint_input (const Submission *submission)
 {
   const sw_submit_args *args = &submission->args;
   const Dialect *dialect = submission->sidecar->node->adapter->dialect;
--- a/daemon/src/target/submission-watch.c
+++ b/daemon/src/target/submission-watch.c
@@ -7,7 +7,7 @@
 
   if (latency_fit_is_known (&siblings))
     return siblings;
-  return latency_book_fit (submission->sidecar->latencies, submission->args.route);
+  return latency_stats_fit (submission->sidecar->latencies, submission->args.route);
 }
 
 /* Returns whether the target has answered no request since this one was sent. */
@@ -66,8 +66,8 @@
     submission->target->answered_us = clock_now (sidecar->node->clock);
   if (failed)
     return;
-  latency_book_add (sidecar->latencies, submission->args.route, result->took_us);
-  fit = latency_book_fit (sidecar->latencies, submission->args.route);
+  latency_stats_add (sidecar->latencies, submission->args.route, result->took_us);
+  fit = latency_stats_fit (sidecar->latencies, submission->args.route);
   res->route_fit = latency_fit_pack (&fit);
 }
 
--- a/daemon/src/target/submission.c
+++ b/daemon/src/target/submission.c
@@ -143,7 +143,7 @@
   const Sidecar *sidecar = submission->sidecar;
   const SidecarTarget *target = submission->target;
   const Node *node = sidecar->node;
-  FingerprintInput words = submission_fingerprint_words (submission);
+  FingerprintInput words = submission_fingerprint_input (submission);
   WatchedTarget where = { target->name, target->service, target->address };
   BrokenAttempt work = { .prints = fingerprint_all (node->fingerprints, &words),
                          .attempt = attempt_id_text (&submission->args.attempt),
@@ -169,7 +169,7 @@
     quarantine_node_trial_undecided (quarantine, &submission->print.prints);
   if (failed || !quarantine_node_watches (quarantine, submission->target->service))
     return;
-  words = submission_fingerprint_words (submission);
+  words = submission_fingerprint_input (submission);
   quarantine_node_note_answer (quarantine, &submission->print, &words);
 }
 
@@ -255,7 +255,7 @@
 
   if (!quarantine_node_watches (quarantine, submission->target->service))
     return TRUE;
-  words = submission_fingerprint_words (submission);
+  words = submission_fingerprint_input (submission);
   if (quarantine_node_admits (quarantine, &submission->print, &words,
                               submission->args.trial, &submission->quarantine_trial,
                               &retry_after_us))
@@ -274,7 +274,7 @@
   gint64 now = clock_now (sidecar->node->clock);
   g_autoptr (GArray) headers = NULL;
   g_autofree char *url = NULL;
-  HttpOrder order = { .method = args->method };
+  HttpCallParams order = { .method = args->method };
 
   if (now >= submission->deadline_us)
     {
@@ -334,8 +334,8 @@
 {
   SidecarTarget *target = submission->target;
   gint64 now = clock_now (submission->sidecar->node->clock);
-  AdmissionOrder order = { .priority = submission->args.priority,
-                           .deadline_us = submission->deadline_us };
+  AdmissionParams order = { .priority = submission->args.priority,
+                            .deadline_us = submission->deadline_us };
   Submission *displaced;
 
   order.on_time_by_us = now + (gint64)submission->args.slack_ms * MS_US;
--- a/io/include/io/http-client.h
+++ b/io/include/io/http-client.h
@@ -46,7 +46,7 @@
   gsize answer_max;
   GDestroyNotify abandon; /* frees `data` if the client is destroyed during the call */
   gboolean reuse; /* allows a reused connection, for calls that are safe to repeat */
-} HttpOrder;
+} HttpCallParams;
 
 /* Called exactly once, from the loop, unless the call is cancelled or the client is
    destroyed before. `result` is borrowed. */
@@ -58,7 +58,7 @@
 /* Starts a call. Everything in `order` is copied; `data` must stay valid until the call
    ends. */
 HttpCall *http_client_send (HttpClient *client,
-                            const HttpOrder *order,
+                            const HttpCallParams *order,
                             HttpDoneFunc done,
                             gpointer data);
 
--- a/io/include/io/loop.h
+++ b/io/include/io/loop.h
@@ -29,14 +29,14 @@
 {
   gint64 cpu_us;  /* processor time of the loop's thread */
   gint64 took_us; /* elapsed time, by the loop's clock */
-} LoopTurn;
+} LoopIteration;
 
-typedef void (*LoopTurnFunc) (const LoopTurn *turn, gpointer data);
+typedef void (*LoopIterationFunc) (const LoopIteration *turn, gpointer data);
 
 /* Turns that reach one of these bounds are reported as long. On a tenth of a core, 20 ms
    of processor time take 200 ms, in which no other request is answered. */
-#define LOOP_TURN_LONG_CPU_US (20 * MS_US)
-#define LOOP_TURN_LONG_US (100 * MS_US)
+#define LOOP_ITERATION_LONG_CPU_US (20 * MS_US)
+#define LOOP_ITERATION_LONG_US (100 * MS_US)
 
 /* The clock is borrowed. Returns NULL if no pollset can be created. */
 Loop *loop_create (Clock *clock);
@@ -52,7 +52,7 @@
 void loop_remove_prepare (Loop *loop, gpointer data);
 
 /* Sets the function that is called at the end of each long turn; NULL for none. */
-void loop_set_turn_func (Loop *loop, LoopTurnFunc func, gpointer data);
+void loop_set_iteration_func (Loop *loop, LoopIterationFunc func, gpointer data);
 
 /* Watches a descriptor. The caller keeps it and closes it after loop_fd_destroy. */
 LoopFd *
--- a/io/src/http-client.c
+++ b/io/src/http-client.c
@@ -221,7 +221,7 @@
 }
 
 static void
-set_headers (HttpCall *call, const HttpOrder *order)
+set_headers (HttpCall *call, const HttpCallParams *order)
 {
   for (guint i = 0; order->headers && i < order->headers->len; i++)
     {
@@ -243,7 +243,7 @@
 }
 
 static void
-set_body (HttpCall *call, const HttpOrder *order)
+set_body (HttpCall *call, const HttpCallParams *order)
 {
   if (g_strcmp0 (order->method, "HEAD") == 0)
     curl_easy_setopt (call->easy, CURLOPT_NOBODY, 1L);
@@ -256,7 +256,7 @@
 }
 
 static void
-set_options (HttpCall *call, const HttpOrder *order)
+set_options (HttpCall *call, const HttpCallParams *order)
 {
   CURL *easy = call->easy;
 
@@ -285,7 +285,7 @@
 
 HttpCall *
 http_client_send (HttpClient *client,
-                  const HttpOrder *order,
+                  const HttpCallParams *order,
                   HttpDoneFunc done,
                   gpointer data)
 {
--- a/io/src/loop.c
+++ b/io/src/loop.c
@@ -43,10 +43,10 @@
   GArray *prepares;
   GPtrArray *dead; /* watches destroyed since the last wait, freed after dispatch */
   gboolean quit;
-  LoopTurnFunc turn_func; /* NULL for none */
-  gpointer turn_data;
-  gint64 turn_began_us;
-  gint64 turn_began_cpu_us;
+  LoopIterationFunc iteration_func; /* NULL for none */
+  gpointer iteration_data;
+  gint64 iteration_began_us;
+  gint64 iteration_began_cpu_us;
 };
 
 Loop *
@@ -173,36 +173,36 @@
 }
 
 static void
-begin_turn (Loop *loop)
+begin_iteration (Loop *loop)
 {
-  if (loop->turn_func)
-    loop->turn_began_us = clock_now (loop->clock);
+  if (loop->iteration_func)
+    loop->iteration_began_us = clock_now (loop->clock);
 }
 
 /* Waiting uses no processor time, so one reading ends this turn and starts the next. */
 static void
-end_turn (Loop *loop)
+end_iteration (Loop *loop)
 {
   gint64 cpu_us;
-  LoopTurn turn;
+  LoopIteration turn;
 
-  if (!loop->turn_func)
+  if (!loop->iteration_func)
     return;
   cpu_us = clock_thread_cpu ();
-  turn.cpu_us = cpu_us - loop->turn_began_cpu_us;
-  turn.took_us = clock_now (loop->clock) - loop->turn_began_us;
-  loop->turn_began_cpu_us = cpu_us;
-  if (turn.cpu_us >= LOOP_TURN_LONG_CPU_US || turn.took_us >= LOOP_TURN_LONG_US)
-    loop->turn_func (&turn, loop->turn_data);
+  turn.cpu_us = cpu_us - loop->iteration_began_cpu_us;
+  turn.took_us = clock_now (loop->clock) - loop->iteration_began_us;
+  loop->iteration_began_cpu_us = cpu_us;
+  if (turn.cpu_us >= LOOP_ITERATION_LONG_CPU_US || turn.took_us >= LOOP_ITERATION_LONG_US)
+    loop->iteration_func (&turn, loop->iteration_data);
 }
 
 void
-loop_set_turn_func (Loop *loop, LoopTurnFunc func, gpointer data)
+loop_set_iteration_func (Loop *loop, LoopIterationFunc func, gpointer data)
 {
-  loop->turn_func = func;
-  loop->turn_data = data;
-  loop->turn_began_cpu_us = clock_thread_cpu ();
-  begin_turn (loop);
+  loop->iteration_func = func;
+  loop->iteration_data = data;
+  loop->iteration_began_cpu_us = clock_thread_cpu ();
+  begin_iteration (loop);
 }
 
 void
@@ -220,9 +220,9 @@
       if (loop->quit)
         break;
       wait = longest_wait (loop);
-      end_turn (loop);
+      end_iteration (loop);
       status = apr_pollset_poll (loop->pollset, wait, &count, &ready);
-      begin_turn (loop);
+      begin_iteration (loop);
       if (status == APR_SUCCESS)
         dispatch_events (loop, ready, count);
       free_destroyed (loop);
--- a/io/tests/test-loop.c
+++ b/io/tests/test-loop.c
@@ -100,11 +100,11 @@
   gint64 cpu_us;
   gint64 took_us;
   guint told;
-  LoopTurn turn;
+  LoopIteration turn;
 } Turns;
 
 static void
-on_turn (const LoopTurn *turn, gpointer data)
+on_iteration (const LoopIteration *turn, gpointer data)
 {
   Turns *turns = data;
 
@@ -130,7 +130,7 @@
 
 /* Runs one iteration with the given cost, and one without any. */
 static Turns
-run_turns (gint64 cpu_us, gint64 took_us)
+run_iterations (gint64 cpu_us, gint64 took_us)
 {
   Turns turns = { .cpu_us = cpu_us, .took_us = took_us };
 
@@ -140,7 +140,7 @@
   clock_set_step (turns.base.clock, 1);
   turns.base.loop = loop_create (turns.base.clock);
   turns.base.timer = loop_timer_create (turns.base.loop, on_work, &turns);
-  loop_set_turn_func (turns.base.loop, on_turn, &turns);
+  loop_set_iteration_func (turns.base.loop, on_iteration, &turns);
   loop_timer_start (turns.base.timer, 0);
   loop_run (turns.base.loop);
   loop_timer_destroy (turns.base.timer);
@@ -152,17 +152,17 @@
 static void
 test_only_long_iterations_are_reported (void **state)
 {
-  Turns calm = run_turns (0, LOOP_TURN_LONG_US / 2);
-  Turns busy = run_turns (LOOP_TURN_LONG_CPU_US, 0);
-  Turns held = run_turns (0, LOOP_TURN_LONG_US);
+  Turns calm = run_iterations (0, LOOP_ITERATION_LONG_US / 2);
+  Turns busy = run_iterations (LOOP_ITERATION_LONG_CPU_US, 0);
+  Turns held = run_iterations (0, LOOP_ITERATION_LONG_US);
 
   assert_int_equal (calm.told, 0);
   assert_int_equal (busy.told, 1);
-  assert_true (busy.turn.cpu_us >= LOOP_TURN_LONG_CPU_US);
-  assert_true (busy.turn.took_us < LOOP_TURN_LONG_US);
+  assert_true (busy.turn.cpu_us >= LOOP_ITERATION_LONG_CPU_US);
+  assert_true (busy.turn.took_us < LOOP_ITERATION_LONG_US);
   assert_int_equal (held.told, 1);
-  assert_true (held.turn.cpu_us < LOOP_TURN_LONG_CPU_US);
-  assert_true (held.turn.took_us >= LOOP_TURN_LONG_US);
+  assert_true (held.turn.cpu_us < LOOP_ITERATION_LONG_CPU_US);
+  assert_true (held.turn.took_us >= LOOP_ITERATION_LONG_US);
 }
 
 int
--- a/standins/src/load.c
+++ b/standins/src/load.c
@@ -161,7 +161,7 @@
   g_autofree char *url = NULL;
   g_autofree guint8 *body = NULL;
   g_autoptr (GArray) headers = NULL;
-  HttpOrder order = { .method = class->method };
+  HttpCallParams order = { .method = class->method };
 
   if (is_over ())
     return FALSE;
--- a/wire/gen/switchmill.h
+++ b/wire/gen/switchmill.h
@@ -127,7 +127,7 @@
 };
 typedef struct sw_rumour sw_rumour;
 
-struct sw_brief {
+struct sw_member_delta {
 	u_int id;
 	u_int incarnation;
 	u_int epoch;
@@ -139,7 +139,7 @@
 		char *state_val;
 	} state;
 };
-typedef struct sw_brief sw_brief;
+typedef struct sw_member_delta sw_member_delta;
 
 struct sw_hello_args {
 	sw_rumour from;
@@ -315,9 +315,9 @@
 		sw_rumour *rumours_val;
 	} rumours;
 	struct {
-		u_int briefs_len;
-		sw_brief *briefs_val;
-	} briefs;
+		u_int deltas_len;
+		sw_member_delta *deltas_val;
+	} deltas;
 	u_int quarantine_digest;
 	struct {
 		u_int quarantine_len;
@@ -426,9 +426,9 @@
 #define SW_CANCEL 11
 extern  void * sw_cancel_1(sw_cancel_args *, CLIENT *);
 extern  void * sw_cancel_1_svc(sw_cancel_args *, struct svc_req *);
-#define SW_NEWS 12
-extern  void * sw_news_1(sw_gossip *, CLIENT *);
-extern  void * sw_news_1_svc(sw_gossip *, struct svc_req *);
+#define SW_UPDATES 12
+extern  void * sw_updates_1(sw_gossip *, CLIENT *);
+extern  void * sw_updates_1_svc(sw_gossip *, struct svc_req *);
 #define SW_ALLOW 13
 extern  sw_allow_res * sw_allow_1(sw_allow_args *, CLIENT *);
 extern  sw_allow_res * sw_allow_1_svc(sw_allow_args *, struct svc_req *);
@@ -468,9 +468,9 @@
 #define SW_CANCEL 11
 extern  void * sw_cancel_1();
 extern  void * sw_cancel_1_svc();
-#define SW_NEWS 12
-extern  void * sw_news_1();
-extern  void * sw_news_1_svc();
+#define SW_UPDATES 12
+extern  void * sw_updates_1();
+extern  void * sw_updates_1_svc();
 #define SW_ALLOW 13
 extern  sw_allow_res * sw_allow_1();
 extern  sw_allow_res * sw_allow_1_svc();
@@ -493,7 +493,7 @@
 extern  bool_t xdr_sw_member_payload (XDR *, sw_member_payload*);
 extern  bool_t xdr_sw_member_state (XDR *, sw_member_state*);
 extern  bool_t xdr_sw_rumour (XDR *, sw_rumour*);
-extern  bool_t xdr_sw_brief (XDR *, sw_brief*);
+extern  bool_t xdr_sw_member_delta (XDR *, sw_member_delta*);
 extern  bool_t xdr_sw_hello_args (XDR *, sw_hello_args*);
 extern  bool_t xdr_sw_hello_res (XDR *, sw_hello_res*);
 extern  bool_t xdr_sw_phase (XDR *, sw_phase*);
@@ -528,7 +528,7 @@
 extern bool_t xdr_sw_member_payload ();
 extern bool_t xdr_sw_member_state ();
 extern bool_t xdr_sw_rumour ();
-extern bool_t xdr_sw_brief ();
+extern bool_t xdr_sw_member_delta ();
 extern bool_t xdr_sw_hello_args ();
 extern bool_t xdr_sw_hello_res ();
 extern bool_t xdr_sw_phase ();
--- a/wire/gen/switchmill_xdr.c
+++ b/wire/gen/switchmill_xdr.c
@@ -329,7 +329,7 @@
 }
 
 bool_t
-xdr_sw_brief (XDR *xdrs, sw_brief *objp)
+xdr_sw_member_delta (XDR *xdrs, sw_member_delta *objp)
 {
 	register int32_t *buf;
 
@@ -939,8 +939,8 @@
 	 if (!xdr_array (xdrs, (char **)&objp->rumours.rumours_val, (u_int *) &objp->rumours.rumours_len, SW_RUMOURS_MAX,
 		sizeof (sw_rumour), (xdrproc_t) xdr_sw_rumour))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->briefs.briefs_val, (u_int *) &objp->briefs.briefs_len, SW_RUMOURS_MAX,
-		sizeof (sw_brief), (xdrproc_t) xdr_sw_brief))
+	 if (!xdr_array (xdrs, (char **)&objp->deltas.deltas_val, (u_int *) &objp->deltas.deltas_len, SW_RUMOURS_MAX,
+		sizeof (sw_member_delta), (xdrproc_t) xdr_sw_member_delta))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->quarantine_digest))
 		 return FALSE;
--- a/wire/switchmill.x
+++ b/wire/switchmill.x
@@ -114,7 +114,7 @@
 };
 
 /* A rumour for nodes that know the member, without its name, hall, address and payload. */
-struct sw_brief {
+struct sw_member_delta {
   unsigned int id;              /* a hash of the node's name */
   unsigned int incarnation;     /* its low 32 bits */
   unsigned int epoch;
@@ -268,7 +268,7 @@
   unsigned hyper digest;        /* of the sender's view of members */
   string subject<SW_NAME_MAX>;  /* for SW_PROBE_VIA: the node to probe */
   sw_rumour rumours<SW_RUMOURS_MAX>;
-  sw_brief briefs<SW_RUMOURS_MAX>;
+  sw_member_delta deltas<SW_RUMOURS_MAX>;
   unsigned int quarantine_digest; /* of the sender's list; 0 for an empty one */
   sw_quarantine quarantine<SW_QUARANTINE_MAX>;
   sw_evacuations evacuations;
@@ -335,7 +335,7 @@
     sw_part_res SW_PART (sw_part_args) = 8;
     sw_view_res SW_VIEW (sw_view_args) = 9;
     void SW_CANCEL (sw_cancel_args) = 11;
-    void SW_NEWS (sw_gossip) = 12;  /* has no answer */
+    void SW_UPDATES (sw_gossip) = 12;  /* has no answer */
     sw_allow_res SW_ALLOW (sw_allow_args) = 13;
     void SW_LEAVE (void) = 10;  /* the platform announces that the callee's VM will leave */
   } = 1;
