--- a/core/include/core/dispatch.h
+++ b/core/include/core/dispatch.h
@@ -29,18 +29,19 @@
 /* The next action of the owner. */
 typedef enum
 {
-  DISPATCH_CHOOSE, /* choose a target, then call dispatch_chosen */
-  DISPATCH_SEND,   /* send a new attempt, and wait `wait_us` for its answer */
-  DISPATCH_ASK,    /* query the fence about the last attempt, and wait `wait_us` */
-  DISPATCH_PAUSE,  /* wait `wait_us`, then call dispatch_resume */
-  DISPATCH_ANSWER  /* answer the caller; the dispatch has ended */
+  DISPATCH_CHOOSE,      /* choose a target, then call dispatch_chosen */
+  DISPATCH_SEND,        /* send a new attempt, and wait `wait_us` for its answer */
+  DISPATCH_QUERY_FENCE, /* query the fence about the last attempt, and wait `wait_us` */
+  DISPATCH_PAUSE,       /* wait `wait_us`, then call dispatch_resume */
+  DISPATCH_ANSWER       /* answer the caller; the dispatch has ended */
 } DispatchKind;
 
 typedef struct
 {
   DispatchKind kind;
   gint64 wait_us;
-  gint64 hold_us;      /* for ASK: how long the sidecar may wait for the attempt's end */
+  gint64 hold_us;      /* for QUERY_FENCE: how long the sidecar may wait for the end of
+                          the attempt */
   gint64 remaining_us; /* for SEND: time until the deadline */
   Outcome outcome;     /* for ANSWER, as the two below */
   Reason reason;
@@ -80,11 +81,11 @@
                             Reason reason,
                             gint64 retry_after_us);
 
-/* Reports the result of ASK. */
-DispatchStep dispatch_asked (Dispatch *dispatch,
-                             DispatchReport report,
-                             Reason reason,
-                             gint64 retry_after_us);
+/* Reports the result of QUERY_FENCE. */
+DispatchStep dispatch_queried (Dispatch *dispatch,
+                               DispatchReport report,
+                               Reason reason,
+                               gint64 retry_after_us);
 
 /* Continues after PAUSE. */
 DispatchStep dispatch_resume (Dispatch *dispatch);
--- a/core/src/request/dispatch.c
+++ b/core/src/request/dispatch.c
@@ -3,7 +3,7 @@
 /* After this many attempts that no target saw, the whole service is assumed to refuse,
    and the caller is told when to retry. The tries of placement.h usually end earlier. */
 #define REFUSALS_MAX 32u
-#define ASK_HOLD_MAX_US (2 * SECOND_US)
+#define QUERY_HOLD_MAX_US (2 * SECOND_US)
 /* Retry delay for the caller if neither a sidecar nor the balancer gave one. */
 #define RETRY_AFTER_DEFAULT_US SECOND_US
 
@@ -14,12 +14,12 @@
   Clock *clock;
   guint attempts;
   guint arrivals;
-  guint asks;
-  gboolean asking;
+  guint fence_queries;
+  gboolean querying_fence;
   gboolean may_have_run;
-  gboolean beside;  /* two attempts are in flight */
-  gboolean faulted; /* the owner keeps an answer reporting a failure */
-  Reason reason;    /* of the last unsuccessful attempt */
+  gboolean hedging;            /* two attempts are in flight */
+  gboolean has_failure_answer; /* the owner keeps an answer reporting a failure */
+  Reason reason;               /* of the last unsuccessful attempt */
   gint64 retry_after_us;
 };
 
@@ -93,13 +93,13 @@
 gboolean
 dispatch_may_hedge (const Dispatch *dispatch)
 {
-  return dispatch->policy.repeatable && !dispatch->policy.pinned && !dispatch->beside &&
+  return dispatch->policy.repeatable && !dispatch->policy.pinned && !dispatch->hedging &&
          dispatch->arrivals + 1 < dispatch->policy.attempts_max &&
          remaining (dispatch) > 0;
 }
 
 static DispatchStep
-answer (Dispatch *dispatch, Outcome outcome, Reason reason)
+answer_caller (Dispatch *dispatch, Outcome outcome, Reason reason)
 {
   DispatchStep step = { .kind = DISPATCH_ANSWER, .outcome = outcome, .reason = reason };
 
@@ -112,10 +112,10 @@
 static DispatchStep
 give_up (Dispatch *dispatch, Reason reason)
 {
-  if (dispatch->faulted)
-    return answer (dispatch, OUTCOME_DONE, reason);
-  return answer (dispatch, dispatch->may_have_run ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN,
-                 reason);
+  if (dispatch->has_failure_answer)
+    return answer_caller (dispatch, OUTCOME_DONE, reason);
+  return answer_caller (
+      dispatch, dispatch->may_have_run ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN, reason);
 }
 
 DispatchStep
@@ -181,24 +181,24 @@
 }
 
 static DispatchStep
-ask (Dispatch *dispatch)
+query_fence (Dispatch *dispatch)
 {
-  DispatchStep step = { .kind = DISPATCH_ASK };
+  DispatchStep step = { .kind = DISPATCH_QUERY_FENCE };
   gint64 left = remaining (dispatch);
 
-  dispatch->asking = TRUE;
-  dispatch->asks++;
+  dispatch->querying_fence = TRUE;
+  dispatch->fence_queries++;
   if (left + dispatch->policy.slack_us <= 0)
-    return answer (dispatch, OUTCOME_UNKNOWN, REASON_LOST);
-  step.hold_us = CLAMP (left, 0, ASK_HOLD_MAX_US);
+    return answer_caller (dispatch, OUTCOME_UNKNOWN, REASON_LOST);
+  step.hold_us = CLAMP (left, 0, QUERY_HOLD_MAX_US);
   step.wait_us = MIN (step.hold_us, left) + dispatch->policy.slack_us;
   return step;
 }
 
 static DispatchStep
-refused (Dispatch *dispatch, Reason reason, gint64 retry_after_us)
+on_refused (Dispatch *dispatch, Reason reason, gint64 retry_after_us)
 {
-  dispatch->asking = FALSE;
+  dispatch->querying_fence = FALSE;
   if (reason == REASON_TARGET_REFUSED)
     note_arrival (dispatch);
   /* The proof covers the attempt's id, and so every earlier use of the ticket. */
@@ -214,23 +214,23 @@
 }
 
 static DispatchStep
-failed (Dispatch *dispatch, Reason reason)
+on_failed (Dispatch *dispatch, Reason reason)
 {
   dispatch->may_have_run = TRUE;
   note_arrival (dispatch);
   if (!dispatch->policy.repeatable)
-    return answer (dispatch, OUTCOME_UNKNOWN, reason);
+    return answer_caller (dispatch, OUTCOME_UNKNOWN, reason);
   return retry (dispatch, reason, FALSE);
 }
 
 /* The target reported a failure; a repeatable request is retried at once. */
 static DispatchStep
-faulted (Dispatch *dispatch, Reason reason)
+on_fault (Dispatch *dispatch, Reason reason)
 {
-  dispatch->faulted = TRUE;
+  dispatch->has_failure_answer = TRUE;
   note_arrival (dispatch);
   if (!dispatch->policy.repeatable)
-    return answer (dispatch, OUTCOME_DONE, reason);
+    return answer_caller (dispatch, OUTCOME_DONE, reason);
   return retry (dispatch, reason, TRUE);
 }
 
@@ -238,36 +238,39 @@
 dispatch_hedge_sent (Dispatch *dispatch)
 {
   dispatch->attempts++;
-  dispatch->beside = TRUE;
+  dispatch->hedging = TRUE;
 }
 
 void
 dispatch_hedge_over (Dispatch *dispatch, DispatchReport report, Reason reason)
 {
   dispatch->reason = reason;
-  dispatch->beside = FALSE;
+  dispatch->hedging = FALSE;
   if (report == DISPATCH_UNSENT ||
       (report == DISPATCH_REFUSED && reason != REASON_TARGET_REFUSED))
     return;
   note_arrival (dispatch);
-  dispatch->faulted |= report == DISPATCH_FAULT;
+  dispatch->has_failure_answer |= report == DISPATCH_FAULT;
   dispatch->may_have_run |= report != DISPATCH_REFUSED;
 }
 
 /* Handles a definite result, from the attempt itself or from the fence. */
 static DispatchStep
-settled (Dispatch *dispatch, DispatchReport report, Reason reason, gint64 retry_after_us)
+on_result (Dispatch *dispatch,
+           DispatchReport report,
+           Reason reason,
+           gint64 retry_after_us)
 {
   switch (report)
     {
     case DISPATCH_DONE:
-      return answer (dispatch, OUTCOME_DONE, REASON_NONE);
+      return answer_caller (dispatch, OUTCOME_DONE, REASON_NONE);
     case DISPATCH_FAULT:
-      return faulted (dispatch, reason);
+      return on_fault (dispatch, reason);
     case DISPATCH_REFUSED:
-      return refused (dispatch, reason, retry_after_us);
+      return on_refused (dispatch, reason, retry_after_us);
     default:
-      return failed (dispatch, reason);
+      return on_failed (dispatch, reason);
     }
 }
 
@@ -281,46 +284,46 @@
     {
     case DISPATCH_UNSENT:
       /* Even if this request was unsent, an earlier one with its ticket may have run. */
-      return dispatch->policy.pinned ? ask (dispatch)
-                                     : refused (dispatch, REASON_UNREACHABLE, 0);
+      return dispatch->policy.pinned ? query_fence (dispatch)
+                                     : on_refused (dispatch, REASON_UNREACHABLE, 0);
     case DISPATCH_STARTED:
     case DISPATCH_LOST:
       if (dispatch->policy.repeatable)
-        return failed (dispatch, REASON_LOST);
-      return ask (dispatch);
+        return on_failed (dispatch, REASON_LOST);
+      return query_fence (dispatch);
     default:
-      return settled (dispatch, report, reason, retry_after_us);
+      return on_result (dispatch, report, reason, retry_after_us);
     }
 }
 
 static DispatchStep
-pause_before_ask (Dispatch *dispatch)
+pause_before_query (Dispatch *dispatch)
 {
   DispatchStep step = { .kind = DISPATCH_PAUSE };
 
-  step.wait_us = retry_pause_us (dispatch->asks, dispatch->rand);
+  step.wait_us = retry_pause_us (dispatch->fence_queries, dispatch->rand);
   if (step.wait_us >= remaining (dispatch) + dispatch->policy.slack_us)
-    return answer (dispatch, OUTCOME_UNKNOWN, REASON_LOST);
+    return answer_caller (dispatch, OUTCOME_UNKNOWN, REASON_LOST);
   return step;
 }
 
 DispatchStep
-dispatch_asked (Dispatch *dispatch,
-                DispatchReport report,
-                Reason reason,
-                gint64 retry_after_us)
+dispatch_queried (Dispatch *dispatch,
+                  DispatchReport report,
+                  Reason reason,
+                  gint64 retry_after_us)
 {
   switch (report)
     {
     case DISPATCH_STARTED:
       if (remaining (dispatch) <= 0)
-        return answer (dispatch, OUTCOME_UNKNOWN, REASON_TIMEOUT);
-      return ask (dispatch);
+        return answer_caller (dispatch, OUTCOME_UNKNOWN, REASON_TIMEOUT);
+      return query_fence (dispatch);
     case DISPATCH_UNSENT:
     case DISPATCH_LOST:
-      return pause_before_ask (dispatch);
+      return pause_before_query (dispatch);
     default:
-      return settled (dispatch, report, reason, retry_after_us);
+      return on_result (dispatch, report, reason, retry_after_us);
     }
 }
 
@@ -329,8 +332,8 @@
 {
   DispatchStep step = { .kind = DISPATCH_CHOOSE };
 
-  if (dispatch->asking)
-    return ask (dispatch);
+  if (dispatch->querying_fence)
+    return query_fence (dispatch);
   if (remaining (dispatch) <= 0)
     return give_up (dispatch, REASON_DEADLINE);
   return step;
--- a/core/tests/test-dispatch.c
+++ b/core/tests/test-dispatch.c
@@ -167,9 +167,9 @@
   Fixture fixture = setup (FALSE, 2);
   DispatchStep step = dispatch_sent (fixture.dispatch, DISPATCH_LOST, REASON_LOST, 0);
 
-  assert_int_equal (step.kind, DISPATCH_ASK);
+  assert_int_equal (step.kind, DISPATCH_QUERY_FENCE);
   clock_advance (fixture.clock, DEADLINE_US + SLACK_US);
-  step = dispatch_asked (fixture.dispatch, DISPATCH_LOST, REASON_LOST, 0);
+  step = dispatch_queried (fixture.dispatch, DISPATCH_LOST, REASON_LOST, 0);
   assert_int_equal (step.kind, DISPATCH_ANSWER);
   assert_int_equal (step.outcome, OUTCOME_UNKNOWN);
   teardown (&fixture);
--- a/core/tests/test-fence.c
+++ b/core/tests/test-fence.c
@@ -208,7 +208,7 @@
       post (world, (Packet){ KIND_SUBMIT, world->at, world->counter, world->incarnation,
                              world->reading_us, 0 });
       break;
-    case DISPATCH_ASK:
+    case DISPATCH_QUERY_FENCE:
       post (world, (Packet){ KIND_FENCE, world->at, world->counter, world->incarnation,
                              world->reading_us, 0 });
       break;
@@ -230,8 +230,9 @@
   if (packet->kind == KIND_SENT && world->step.kind == DISPATCH_SEND)
     take_step (world,
                dispatch_sent (world->dispatch, packet->report, REASON_OVERLOAD, 0));
-  else if (packet->kind == KIND_ASKED && world->step.kind == DISPATCH_ASK)
-    take_step (world, dispatch_asked (world->dispatch, packet->report, REASON_FENCED, 0));
+  else if (packet->kind == KIND_ASKED && world->step.kind == DISPATCH_QUERY_FENCE)
+    take_step (world,
+               dispatch_queried (world->dispatch, packet->report, REASON_FENCED, 0));
 }
 
 static void
@@ -284,8 +285,8 @@
     return;
   if (world->step.kind == DISPATCH_SEND)
     take_step (world, dispatch_sent (world->dispatch, DISPATCH_LOST, REASON_LOST, 0));
-  else if (world->step.kind == DISPATCH_ASK)
-    take_step (world, dispatch_asked (world->dispatch, DISPATCH_LOST, REASON_LOST, 0));
+  else if (world->step.kind == DISPATCH_QUERY_FENCE)
+    take_step (world, dispatch_queried (world->dispatch, DISPATCH_LOST, REASON_LOST, 0));
   else if (world->step.kind == DISPATCH_PAUSE)
     take_step (world, dispatch_resume (world->dispatch));
 }
@@ -321,13 +322,13 @@
   take_step (&world, dispatch_begin (world.dispatch));
   for (guint step = 0; step < STEPS_MAX; step++)
     {
-      guint what = (guint)g_rand_int_range (world.rand, 0, 100);
+      guint event = (guint)g_rand_int_range (world.rand, 0, 100);
 
-      if (what < 50)
+      if (event < 50)
         deliver (&world);
-      else if (what < 75)
+      else if (event < 75)
         progress (&world, (guint)g_rand_int_range (world.rand, 0, SIDECARS));
-      else if (what < 98)
+      else if (event < 98)
         pass_time (&world);
       else
         boot (&world, (guint)g_rand_int_range (world.rand, 0, SIDECARS));
--- a/daemon/src/request/exchange-call.c
+++ b/daemon/src/request/exchange-call.c
@@ -18,9 +18,9 @@
     attempt_note_answer (attempt, res);
   report = attempt_report (attempt, outcome, res);
   attempt->submitted &= report != DISPATCH_REFUSED;
-  step = dispatch_asked (exchange->dispatch, report,
-                         outcome == RPC_OK ? (Reason)res->reason : REASON_LOST,
-                         outcome == RPC_OK ? (gint64)res->retry_after_ms * MS_US : 0);
+  step = dispatch_queried (exchange->dispatch, report,
+                           outcome == RPC_OK ? (Reason)res->reason : REASON_LOST,
+                           outcome == RPC_OK ? (gint64)res->retry_after_ms * MS_US : 0);
   exchange_carry_out (exchange, &step);
 }
 
@@ -54,7 +54,8 @@
   if (stamp->incarnation != attempt->stamp.incarnation)
     {
       exchange->asking = FALSE;
-      step = dispatch_asked (exchange->dispatch, DISPATCH_UNSURE, REASON_INCARNATION, 0);
+      step =
+          dispatch_queried (exchange->dispatch, DISPATCH_UNSURE, REASON_INCARNATION, 0);
       exchange_carry_out (exchange, &step);
       return;
     }
--- a/daemon/src/request/exchange.c
+++ b/daemon/src/request/exchange.c
@@ -122,7 +122,7 @@
     case DISPATCH_SEND:
       exchange_send (exchange, step);
       break;
-    case DISPATCH_ASK:
+    case DISPATCH_QUERY_FENCE:
       exchange_query_fence (exchange, step);
       break;
     case DISPATCH_PAUSE:
