--- a/daemon/src/member/gossip.c
+++ b/daemon/src/member/gossip.c
@@ -227,7 +227,7 @@
 }
 
 static void
-tell (Gossip *gossip, guint near, guint far)
+send_updates (Gossip *gossip, guint near, guint far)
 {
   g_autoptr (GPtrArray) some = pick_members (gossip, near, far);
 
@@ -243,13 +243,13 @@
 void
 gossip_push (Gossip *gossip)
 {
-  tell (gossip, NEAR_FANOUT, FAR_FANOUT);
+  send_updates (gossip, NEAR_FANOUT, FAR_FANOUT);
 }
 
 static void
 on_forward_timer (gpointer data)
 {
-  tell (data, NEAR_FANOUT, 0);
+  send_updates (data, NEAR_FANOUT, 0);
 }
 
 static void
@@ -262,7 +262,7 @@
       quarantine_node_urgency (quarantine) == QUARANTINE_UPDATES_URGENT;
   if (quarantine_node_urgency (quarantine) == QUARANTINE_UPDATES_NONE)
     return;
-  tell (gossip, SPREAD_NEAR, SPREAD_FAR);
+  send_updates (gossip, SPREAD_NEAR, SPREAD_FAR);
   loop_timer_start (gossip->spread,
                     gossip->spread_urgent ? SPREAD_URGENT_US : SPREAD_INTERVAL_US);
 }
--- a/daemon/src/member/vm-list.c
+++ b/daemon/src/member/vm-list.c
@@ -57,7 +57,7 @@
 }
 
 static void
-tell (VmList *list, const char *vm)
+notify_vm (VmList *list, const char *vm)
 {
   Node *node = list->node;
   const Member *member = members_find (node->members, vm);
@@ -98,7 +98,7 @@
           vm ? json_object_get_string_member_with_default (vm, "state", "") : "";
 
       if (strcmp (state, "leaving") == 0)
-        tell (list, json_object_get_string_member_with_default (vm, "name", ""));
+        notify_vm (list, json_object_get_string_member_with_default (vm, "name", ""));
     }
 }
 
--- a/daemon/src/quarantine/quarantine-node.c
+++ b/daemon/src/quarantine/quarantine-node.c
@@ -100,7 +100,7 @@
 
 /* Asks for updates to be sent at once instead of with the next probe. */
 static void
-tell (QuarantineNode *quarantine)
+notify_updates (QuarantineNode *quarantine)
 {
   if (quarantine->notify_func && quarantine_urgency (quarantine->list))
     quarantine->notify_func (quarantine->notify_data);
@@ -125,7 +125,7 @@
       worst.state = MAX (worst.state, verdict.state);
       worst.retry_after_us = MAX (worst.retry_after_us, verdict.retry_after_us);
     }
-  tell (quarantine);
+  notify_updates (quarantine);
   return worst;
 }
 
@@ -154,7 +154,7 @@
     return TRUE;
   *trial = offered && verdict.state == QUARANTINE_TRIAL &&
            begin_trial (quarantine, &print->prints);
-  tell (quarantine);
+  notify_updates (quarantine);
   return *trial;
 }
 
@@ -172,7 +172,7 @@
       if (quarantine_note_answer (quarantine->list, &print->prints.of[i]))
         log_event (G_LOG_LEVEL_INFO, "quarantine-answer", "REQUEST", request, NULL);
     }
-  tell (quarantine);
+  notify_updates (quarantine);
 }
 
 void
@@ -180,7 +180,7 @@
 {
   for (guint i = 0; i < prints->count; i++)
     quarantine_trial_undecided (quarantine->list, &prints->of[i]);
-  tell (quarantine);
+  notify_updates (quarantine);
 }
 
 void
@@ -192,7 +192,7 @@
   quarantine_note_end (quarantine->list, g_rand_int (quarantine->node->rand),
                        quarantine_service_hash (service),
                        version ? quarantine_service_hash (version) : 0, requests);
-  tell (quarantine);
+  notify_updates (quarantine);
 }
 
 void
@@ -202,7 +202,7 @@
 {
   quarantine_note_version (quarantine->list, quarantine_service_hash (service),
                            quarantine_service_hash (version));
-  tell (quarantine);
+  notify_updates (quarantine);
 }
 
 void
@@ -266,7 +266,7 @@
   if (quarantine_entries (quarantine->list)->len == 0)
     return;
   quarantine_tick (quarantine->list);
-  tell (quarantine);
+  notify_updates (quarantine);
 }
 
 gboolean
@@ -274,7 +274,7 @@
 {
   gboolean lifted = quarantine_lift (quarantine->list, digits);
 
-  tell (quarantine);
+  notify_updates (quarantine);
   return lifted;
 }
 
--- a/daemon/src/request/exchange-quarantine.c
+++ b/daemon/src/request/exchange-quarantine.c
@@ -7,12 +7,12 @@
 /* Returns the fields of the request from which fingerprints are made, borrowed. They
    match the ones that the sidecar of any target reads in the attempt. */
 static FingerprintInput
-words_of (const Exchange *exchange)
+fingerprint_input (const Exchange *exchange)
 {
   const Dialect *dialect = exchange->owner->node->adapter->dialect;
   const HttpRequest *request = exchange->request;
   const GByteArray *body = http_request_body (request);
-  FingerprintInput words = { .service = exchange->service,
+  FingerprintInput input = { .service = exchange->service,
                              .method = http_request_method (request),
                              .host = http_request_header (request, "Host"),
                              .path = http_request_target (request),
@@ -20,10 +20,10 @@
                              .body_len = body->len };
 
   if (exchange->account)
-    words.account = exchange->account->id;
+    input.account = exchange->account->id;
   else if (dialect->forwards (CREDENTIALS_HEADER, exchange->key_checked))
-    words.account = http_request_header (request, CREDENTIALS_HEADER);
-  return words;
+    input.account = http_request_header (request, CREDENTIALS_HEADER);
+  return input;
 }
 
 QuarantineVerdict
@@ -31,12 +31,12 @@
 {
   QuarantineNode *quarantine = exchange->owner->node->quarantine;
   QuarantineVerdict verdict = { QUARANTINE_FREE, 0 };
-  FingerprintInput words;
+  FingerprintInput input;
 
   if (!quarantine_node_watches (quarantine, exchange->service))
     return verdict;
-  words = words_of (exchange);
-  return quarantine_node_check (quarantine, &exchange->print, &words);
+  input = fingerprint_input (exchange);
+  return quarantine_node_check (quarantine, &exchange->print, &input);
 }
 
 static void
--- a/daemon/src/request/ticket.c
+++ b/daemon/src/request/ticket.c
@@ -10,7 +10,7 @@
 /* Returns all fields but the MAC, joined by '~', which names cannot contain
    (core/names.h). */
 static char *
-words_of (const Ticket *ticket)
+join_fields (const Ticket *ticket)
 {
   return g_strdup_printf ("%s~%" G_GINT64_MODIFIER "x~%" G_GINT64_MODIFIER
                           "x~%s~%s~%s~%" G_GINT64_MODIFIER "x~%" G_GINT64_MODIFIER "x",
@@ -30,7 +30,7 @@
 char *
 ticket_text (const Ticket *ticket, const char *fleet_token)
 {
-  g_autofree char *words = words_of (ticket);
+  g_autofree char *words = join_fields (ticket);
   g_autofree char *mac = seal (words, fleet_token);
 
   return g_strconcat (words, "~", mac, NULL);
