--- a/standins/src/load.c
+++ b/standins/src/load.c
@@ -66,7 +66,7 @@
 }
 
 static gboolean
-is_over (void)
+has_run_ended (void)
 {
   return now () >= end_us;
 }
@@ -74,7 +74,7 @@
 static void
 maybe_quit (void)
 {
-  if (is_over () && in_flight == 0)
+  if (has_run_ended () && in_flight == 0)
     loop_quit (loop);
 }
 
@@ -163,7 +163,7 @@
   g_autoptr (GArray) headers = NULL;
   HttpCallParams order = { .method = class->method };
 
-  if (is_over ())
+  if (has_run_ended ())
     return FALSE;
   call = g_new0 (Call, 1);
   call->class = class;
@@ -202,12 +202,12 @@
 static void
 on_pace (gpointer data)
 {
-  while (!is_over () && next_us <= now ())
+  while (!has_run_ended () && next_us <= now ())
     {
       send_one ();
       next_us += SECOND_US / rate;
     }
-  if (is_over ())
+  if (has_run_ended ())
     maybe_quit ();
   else
     loop_timer_start (pace, next_us - now ());
