--- a/io/src/http-gone.c
+++ b/io/src/http-gone.c
@@ -19,7 +19,7 @@
             (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)))
         continue;
       if (g_hash_table_remove (server->watched, request))
-        request->gone (request->gone_data);
+        request->gone_func (request->gone_data);
     }
 }
 
@@ -47,9 +47,9 @@
   while (g_hash_table_iter_next (&iter, &key, NULL))
     {
       HttpRequest *request = key;
-      struct pollfd look = { request->conn->fd, POLLRDHUP, 0 };
+      struct pollfd poll_fd = { request->conn->fd, POLLRDHUP, 0 };
 
-      g_array_append_val (polls, look);
+      g_array_append_val (polls, poll_fd);
       g_ptr_array_add (requests, http_request_ref (request));
     }
   if (poll ((struct pollfd *)polls->data, polls->len, 0) > 0)
@@ -62,7 +62,7 @@
 {
   HttpServer *server = request->server;
 
-  request->gone = func;
+  request->gone_func = func;
   request->gone_data = data;
   if (!server)
     return;
--- a/io/src/http-server-private.h
+++ b/io/src/http-server-private.h
@@ -35,8 +35,8 @@
   HttpLimits limits;
   HttpHandler handler;
   gpointer data;
-  HttpStallFunc stall_close;
-  gpointer stall_close_data;
+  HttpStallFunc stall_func;
+  gpointer stall_data;
   HttpFullFunc full;
   gpointer full_data;
   gsize held;        /* bytes of bodies and answers */
@@ -61,7 +61,7 @@
   gint64 received_us; /* when the handler was called */
   gboolean suspended;
   gboolean dropped;
-  HttpGoneFunc gone;
+  HttpGoneFunc gone_func;
   gpointer gone_data;
   guint status;
   struct MHD_Response *response;
--- a/io/src/http-server.c
+++ b/io/src/http-server.c
@@ -263,13 +263,13 @@
 
 /* Closes a stalled connection, which frees the memory held for its answer. */
 static void
-stall_close (Conn *conn)
+close_stalled (Conn *conn)
 {
   HttpServer *server = conn->server;
 
   conn->last_read_us = 0;
-  if (server->stall_close)
-    server->stall_close (conn->answer_unread, server->stall_close_data);
+  if (server->stall_func)
+    server->stall_func (conn->answer_unread, server->stall_data);
   shutdown (conn->fd, SHUT_RDWR);
 }
 
@@ -294,7 +294,7 @@
       if (conn->reading_since_us && now - conn->reading_since_us > server->limits.read_us)
         refuse_slow (conn);
       else if (has_stalled (conn, now))
-        stall_close (conn);
+        close_stalled (conn);
       else if (conn->idle_since_us && now - conn->idle_since_us > server->limits.idle_us)
         shutdown (conn->fd, SHUT_RDWR);
     }
@@ -379,8 +379,8 @@
 void
 http_server_set_stall_func (HttpServer *server, HttpStallFunc func, gpointer data)
 {
-  server->stall_close = func;
-  server->stall_close_data = data;
+  server->stall_func = func;
+  server->stall_data = data;
 }
 
 void
--- a/io/src/loop.c
+++ b/io/src/loop.c
@@ -16,7 +16,7 @@
   LoopEvents events;
   LoopFdFunc func;
   gpointer data;
-  gboolean dead;
+  gboolean destroyed;
 };
 
 struct LoopTimer
@@ -41,7 +41,7 @@
   apr_pollset_t *pollset;
   GSequence *timers;
   GArray *prepares;
-  GPtrArray *dead; /* watches destroyed since the last wait, freed after dispatch */
+  GPtrArray *destroyed; /* watches destroyed since the last wait, freed after dispatch */
   gboolean quit;
   LoopIterationFunc iteration_func; /* NULL for none */
   gpointer iteration_data;
@@ -67,21 +67,21 @@
   loop->clock = clock;
   loop->timers = g_sequence_new (NULL);
   loop->prepares = g_array_new (FALSE, FALSE, sizeof (Prepare));
-  loop->dead = g_ptr_array_new ();
+  loop->destroyed = g_ptr_array_new ();
   return loop;
 }
 
 static void
 free_destroyed (Loop *loop)
 {
-  for (guint i = 0; i < loop->dead->len; i++)
+  for (guint i = 0; i < loop->destroyed->len; i++)
     {
-      LoopFd *watch = g_ptr_array_index (loop->dead, i);
+      LoopFd *watch = g_ptr_array_index (loop->destroyed, i);
 
       apr_pool_destroy (watch->pool);
       g_free (watch);
     }
-  g_ptr_array_set_size (loop->dead, 0);
+  g_ptr_array_set_size (loop->destroyed, 0);
 }
 
 void
@@ -90,7 +90,7 @@
   if (!loop)
     return;
   free_destroyed (loop);
-  g_ptr_array_unref (loop->dead);
+  g_ptr_array_unref (loop->destroyed);
   g_sequence_free (loop->timers);
   g_array_unref (loop->prepares);
   apr_pollset_destroy (loop->pollset);
@@ -162,7 +162,7 @@
       LoopFd *watch = ready[i].client_data;
       LoopEvents events = 0;
 
-      if (watch->dead)
+      if (watch->destroyed)
         continue;
       if (ready[i].rtnevents & (APR_POLLIN | APR_POLLHUP | APR_POLLERR))
         events |= LOOP_READ;
@@ -305,8 +305,8 @@
     return;
   if (watch->events)
     apr_pollset_remove (watch->loop->pollset, &watch->poll);
-  watch->dead = TRUE;
-  g_ptr_array_add (watch->loop->dead, watch);
+  watch->destroyed = TRUE;
+  g_ptr_array_add (watch->loop->destroyed, watch);
 }
 
 static gint
--- a/io/src/stream.c
+++ b/io/src/stream.c
@@ -19,7 +19,7 @@
   LoopFd *watch;
   LoopTimer *fail;
   gboolean connecting;
-  gboolean *gone; /* set by stream_destroy during dispatch_records, else NULL */
+  gboolean *destroyed; /* set by stream_destroy during dispatch_records, else NULL */
   GByteArray *in;
   GByteArray *out;
   guint out_at;
@@ -90,9 +90,9 @@
 dispatch_records (Stream *stream)
 {
   g_autoptr (GByteArray) record = g_byte_array_new ();
-  gboolean gone = FALSE;
+  gboolean destroyed = FALSE;
 
-  stream->gone = &gone;
+  stream->destroyed = &destroyed;
   for (;;)
     {
       RecordState state = record_take (stream->in, stream->record_max, record);
@@ -101,15 +101,15 @@
         break;
       if (state == RECORD_BAD)
         {
-          stream->gone = NULL;
+          stream->destroyed = NULL;
           notify_closed (stream);
           return FALSE;
         }
       stream->events->record (record, stream->data);
-      if (gone)
+      if (destroyed)
         return FALSE;
     }
-  stream->gone = NULL;
+  stream->destroyed = NULL;
   if (stream->in->len == 0)
     {
       g_byte_array_unref (stream->in);
@@ -188,8 +188,8 @@
 {
   if (!stream)
     return;
-  if (stream->gone)
-    *stream->gone = TRUE;
+  if (stream->destroyed)
+    *stream->destroyed = TRUE;
   loop_fd_destroy (stream->watch);
   loop_timer_destroy (stream->fail);
   close (stream->fd);
--- a/io/src/worker.c
+++ b/io/src/worker.c
@@ -17,10 +17,10 @@
 struct Worker
 {
   Loop *loop;
-  GThread *thread;   /* NULL before the first job */
-  GAsyncQueue *todo; /* of Task: to run, or to free if they have run */
-  GAsyncQueue *over; /* of Task: have run */
-  int wake[2];       /* a pipe, with a byte for each task in `over` */
+  GThread *thread;       /* NULL before the first job */
+  GAsyncQueue *todo;     /* of Task: to run, or to free if they have run */
+  GAsyncQueue *finished; /* of Task: have run */
+  int wake[2];           /* a pipe, with a byte for each task in `finished` */
   LoopFd *watch;
 };
 
@@ -47,7 +47,7 @@
 {
   task->run (task->job);
   task->run = NULL;
-  g_async_queue_push (worker->over, task);
+  g_async_queue_push (worker->finished, task);
   wake_loop (worker);
 }
 
@@ -79,7 +79,7 @@
 
   while (read (fd, bytes, sizeof bytes) > 0)
     ;
-  while ((task = g_async_queue_try_pop (worker->over)))
+  while ((task = g_async_queue_try_pop (worker->finished)))
     {
       task->done (task->job, task->data);
       /* The thread frees the job, because freeing a large job takes long too. */
@@ -101,7 +101,7 @@
       return NULL;
     }
   worker->todo = g_async_queue_new_full (task_free);
-  worker->over = g_async_queue_new_full (task_free);
+  worker->finished = g_async_queue_new_full (task_free);
   worker->watch = loop_fd_create (loop, worker->wake[0], LOOP_READ, on_wake, worker);
   return worker;
 }
@@ -131,7 +131,7 @@
   close (worker->wake[0]);
   close (worker->wake[1]);
   g_async_queue_unref (worker->todo);
-  g_async_queue_unref (worker->over);
+  g_async_queue_unref (worker->finished);
   g_free (worker);
 }
 
--- a/io/tests/test-slow-readers.c
+++ b/io/tests/test-slow-readers.c
@@ -30,9 +30,9 @@
   Loop *loop;
   HttpServer *server;
   char *body;
-  guint stall_close;
+  guint stalls;
   guint full;
-  gint over; /* the callers' thread has ended */
+  gint thread_ended; /* the callers' thread; accessed atomically */
 } Fixture;
 
 static void
@@ -47,7 +47,7 @@
 on_stall (gsize left, gpointer data)
 {
   assert_in_range (left, 1, ANSWER_BYTES);
-  ((Fixture *)data)->stall_close++;
+  ((Fixture *)data)->stalls++;
 }
 
 static void
@@ -121,7 +121,7 @@
   fds[0] = ask ();
   seen->last = read_all (fds[0], &refused);
   close (fds[0]);
-  g_atomic_int_set (&fixture->over, TRUE);
+  g_atomic_int_set (&fixture->thread_ended, TRUE);
   return seen;
 }
 
@@ -130,7 +130,7 @@
 {
   Fixture *fixture = data;
 
-  if (g_atomic_int_get (&fixture->over))
+  if (g_atomic_int_get (&fixture->thread_ended))
     loop_quit (fixture->loop);
   return PAUSE_US;
 }
@@ -159,7 +159,7 @@
   assert_in_range (seen->cut, 1, HELD_MAX / ANSWER_BYTES + 1);
   assert_int_equal (seen->refused, READERS - seen->cut);
   assert_int_equal (fixture.full, seen->refused);
-  assert_int_equal (fixture.stall_close, seen->cut);
+  assert_int_equal (fixture.stalls, seen->cut);
   /* The stalled connections have been closed, and there is room again. */
   assert_true (seen->last > ANSWER_BYTES);
   assert_int_equal (http_server_active (fixture.server), 0);
