--- a/core/src/member/members-compare.c
+++ b/core/src/member/members-compare.c
@@ -37,11 +37,11 @@
 static ComparePolicy
 compare_policy (const Members *members, gboolean near)
 {
-  gboolean young = members_is_starting_up (members);
+  gboolean starting_up = members_is_starting_up (members);
 
-  if (young && near)
+  if (starting_up && near)
     return (ComparePolicy){ 1, STARTUP_EVERY_US };
-  if (young && members_rank_in_hall (members) < CROSS_HALL_NODES)
+  if (starting_up && members_rank_in_hall (members) < CROSS_HALL_NODES)
     return (ComparePolicy){ 1, STARTUP_FAR_EVERY_US };
   return (ComparePolicy){ MISMATCHES_MIN, near ? EVERY_US : FAR_EVERY_US };
 }
--- a/core/src/member/members-updates.c
+++ b/core/src/member/members-updates.c
@@ -56,13 +56,13 @@
    notes that it is now. If the message is lost, updates from other nodes and view
    comparisons repair it. */
 static gboolean
-introduced (MemberRecord *receiver)
+note_self_sent (MemberRecord *receiver)
 {
-  gboolean before = receiver && receiver->introduced;
+  gboolean was_sent = receiver && receiver->self_sent;
 
   if (receiver)
-    receiver->introduced = TRUE;
-  return before;
+    receiver->self_sent = TRUE;
+  return was_sent;
 }
 
 static void
@@ -77,22 +77,22 @@
 {
   GArray *updates = members->updates;
   MemberRecord *receiver = to ? members_table_find (members->table, to) : NULL;
-  g_autoptr (GPtrArray) fresh = g_ptr_array_new ();
+  g_autoptr (GPtrArray) pending = g_ptr_array_new ();
   gsize room = max_bytes;
 
   g_array_set_size (updates, 0);
   append_update (updates, members->self,
-                 introduced (receiver) && members->self->full_sends_left == 0, &room);
+                 note_self_sent (receiver) && members->self->full_sends_left == 0, &room);
   count_send (members->self);
   /* A receiver that is suspect, dead, left or of another incarnation in this view must
      learn of it to refute it. */
   if (receiver && receiver != members->self &&
       (receiver->member.status != MEMBER_ALIVE || receiver->contested))
     append_update (updates, receiver, FALSE, &room);
-  members_table_pending (members->table, fresh);
-  for (guint i = 0; i < fresh->len; i++)
+  members_table_pending (members->table, pending);
+  for (guint i = 0; i < pending->len; i++)
     {
-      MemberRecord *record = g_ptr_array_index (fresh, i);
+      MemberRecord *record = g_ptr_array_index (pending, i);
 
       if (record == members->self || record == receiver)
         continue;
--- a/core/src/member/members.c
+++ b/core/src/member/members.c
@@ -192,7 +192,7 @@
 {
   MemberRecord *record = members_table_find (members->table, rumour->node);
   MemberStatus old;
-  gboolean unlike;
+  gboolean full;
 
   if (!record)
     return merge_new (members, rumour);
@@ -204,13 +204,13 @@
       return FALSE;
     }
   old = record->member.status;
-  unlike = needs_full_update (rumour, &record->member);
-  record->introduced &= rumour->incarnation == record->member.incarnation;
+  full = needs_full_update (rumour, &record->member);
+  record->self_sent &= rumour->incarnation == record->member.incarnation;
   members_table_update (members->table, record, rumour);
   record->contested = FALSE;
   if (old != rumour->status)
     note_status_time (members, record);
-  members_disseminate (members, record, unlike);
+  members_disseminate (members, record, full);
   report_change (members, record);
   return TRUE;
 }
--- a/core/src/member/table.h
+++ b/core/src/member/table.h
@@ -14,8 +14,8 @@
   guint full_sends_left; /* how many of them are in full */
   guint64 hash;          /* XORed into its bucket's digest */
   guint bucket;
-  gboolean contested;  /* an update named another incarnation: inform the member */
-  gboolean introduced; /* self has been sent to it in full */
+  gboolean contested; /* an update named another incarnation: inform the member */
+  gboolean self_sent; /* self has been sent to it in full */
 } MemberRecord;
 
 typedef struct MembersTable MembersTable;
--- a/core/src/request/balancer-choose.c
+++ b/core/src/request/balancer-choose.c
@@ -34,12 +34,12 @@
 trial_is_due (Balancer *balancer, const Target *target, TargetView *view)
 {
   gint64 now = clock_now (balancer->clock);
-  gint64 every = balancer_trial_every_us (balancer, target->hall);
+  gint64 interval_us = balancer_trial_every_us (balancer, target->hall);
 
   if (now < view->trial_due_us)
     return FALSE;
   view->trial_due_us =
-      now + (gint64)(every * g_rand_double_range (balancer->rand, 0.5, 1.5));
+      now + (gint64)(interval_us * g_rand_double_range (balancer->rand, 0.5, 1.5));
   return TRUE;
 }
 
--- a/core/src/request/balancer.c
+++ b/core/src/request/balancer.c
@@ -89,12 +89,12 @@
 static void
 note_severity (Balancer *balancer, TargetView *view, guint severity)
 {
-  gint64 every = BALANCER_TRIAL_OTHER_US * balancer->ingresses;
+  gint64 interval_us = BALANCER_TRIAL_OTHER_US * balancer->ingresses;
 
   if (severity == 0 || view->report.severity > 0)
     return;
   view->trial_due_us = clock_now (balancer->clock) +
-                       (gint64)(every * g_rand_double_range (balancer->rand, 0, 1));
+                       (gint64)(interval_us * g_rand_double_range (balancer->rand, 0, 1));
 }
 
 void
@@ -192,11 +192,11 @@
       const TargetView *view = balancer_view (balancer, target->name);
       const Path *path = balancer_path (balancer, target->vm);
       gboolean current = balancer_is_current (view, path);
-      gboolean weigh = current && service->detection != DETECTION_OFF;
+      gboolean use_severity = current && service->detection != DETECTION_OFF;
 
       items[i].name = target->name;
       items[i].slots = target->slots;
-      items[i].severity = weigh ? view->report.severity : 0;
+      items[i].severity = use_severity ? view->report.severity : 0;
       items[i].available = target->state == TARGET_SERVING &&
                            !(current && view->report.draining) && path_usable (path, now);
     }
--- a/core/src/request/quarantine-blame.c
+++ b/core/src/request/quarantine-blame.c
@@ -1,14 +1,14 @@
 #include "quarantine-private.h"
 
 /* Decides which of an entry's ends count; NULL counts all. */
-typedef gboolean (*Counts) (const Quarantine *quarantine,
-                            const QuarantineEntry *entry,
-                            guint32 end);
+typedef gboolean (*EndFilter) (const Quarantine *quarantine,
+                               const QuarantineEntry *entry,
+                               guint32 end);
 
 static guint
 count_moments (const Quarantine *quarantine,
                const QuarantineEntry *entry,
-               Counts counts,
+               EndFilter filter,
                gint64 *decisive_us)
 {
   gint64 moment = 0;
@@ -19,7 +19,7 @@
       const QuarantineEnd *end = &entry->ends[i];
 
       if ((count > 0 && end->at_us - moment <= QUARANTINE_MOMENT_US) ||
-          (counts && !counts (quarantine, entry, end->id)))
+          (filter && !filter (quarantine, entry, end->id)))
         continue;
       moment = end->at_us;
       if (++count == QUARANTINE_ENDS_LIMIT)
@@ -49,16 +49,16 @@
    taken as the cause, because one that merely ran on the same target has been present at
    fewer. */
 static gboolean
-is_own (const Quarantine *quarantine, const QuarantineEntry *entry, guint32 end)
+counts_against (const Quarantine *quarantine, const QuarantineEntry *entry, guint32 end)
 {
-  guint own = count_all_moments (entry);
+  guint own_count = count_all_moments (entry);
 
   for (guint i = 0; i < quarantine->entries->len; i++)
     {
       const QuarantineEntry *other =
           &g_array_index (quarantine->entries, QuarantineEntry, i);
 
-      if (other != entry && has_end (other, end) && count_all_moments (other) > own)
+      if (other != entry && has_end (other, end) && count_all_moments (other) > own_count)
         return FALSE;
     }
   return TRUE;
@@ -69,5 +69,5 @@
                           const QuarantineEntry *entry,
                           gint64 *decisive_us)
 {
-  return count_moments (quarantine, entry, is_own, decisive_us);
+  return count_moments (quarantine, entry, counts_against, decisive_us);
 }
--- a/core/src/request/quarantine.c
+++ b/core/src/request/quarantine.c
@@ -26,11 +26,11 @@
 }
 
 static void
-blame (Quarantine *quarantine,
-       const Fingerprint *request,
-       const QuarantineEnd *end,
-       guint32 service,
-       guint32 version)
+record_end (Quarantine *quarantine,
+            const Fingerprint *request,
+            const QuarantineEnd *end,
+            guint32 service,
+            guint32 version)
 {
   QuarantineEntry rank = { .request = *request, .service = service };
   QuarantineEntry *entry = quarantine_find (quarantine, request);
@@ -53,7 +53,7 @@
                      guint32 version,
                      const GArray *requests)
 {
-  QuarantineEnd fact = { end, clock_now (quarantine->clock) };
+  QuarantineEnd new_end = { end, clock_now (quarantine->clock) };
   gboolean held = any_held (quarantine, requests);
   guint room = QUARANTINE_FINGERPRINTS_MAX;
 
@@ -68,7 +68,7 @@
 
         if ((entry != NULL) != (known != 0) || (held && !(entry && entry->held_us)))
           continue;
-        blame (quarantine, request, &fact, service, version);
+        record_end (quarantine, request, &new_end, service, version);
         room--;
       }
   quarantine_tick (quarantine);
--- a/core/tests/test-admission-load.c
+++ b/core/tests/test-admission-load.c
@@ -58,7 +58,7 @@
 }
 
 static void
-come (Replay *replay, guint priority)
+arrive (Replay *replay, guint priority)
 {
   Item *item = &replay->items[replay->count++];
   gint64 now = clock_now (replay->clock);
@@ -115,7 +115,7 @@
     {
       if (clock_now (replay->clock) >= next)
         {
-          come (replay, replay->count % 4 == 0 ? 0 : 1);
+          arrive (replay, replay->count % 4 == 0 ? 0 : 1);
           next += every_us;
         }
       step (replay);
@@ -208,11 +208,11 @@
   guint refused = 0;
 
   for (guint i = 0; i < SLOTS + QUEUE / 2; i++)
-    come (replay, 1);
+    arrive (replay, 1);
   clock_advance (replay->clock, OBJECTIVE_US);
   for (guint i = 0; i < QUEUE / 2; i++)
-    come (replay, 1);
-  come (replay, 1);
+    arrive (replay, 1);
+  arrive (replay, 1);
   assert_false (replay->items[SLOTS + QUEUE].refused);
   for (guint i = 0; i < SLOTS + QUEUE; i++)
     refused += replay->items[i].refused;
--- a/core/tests/test-config.c
+++ b/core/tests/test-config.c
@@ -82,7 +82,7 @@
     "pay\",\"service\":\"pay\",\"class\":\"host\"}]}";
 
 static void
-expect_fault (const char *intent, const char *path, const char *what)
+expect_fault (const char *intent, const char *path, const char *expected)
 {
   Snapshot *base = apply_intent (snapshot_create_empty (), two_targets);
   JsonFaults *faults = json_faults_create ();
@@ -90,8 +90,8 @@
 
   assert_null (plan_create (base, intent, -1, healthy, NULL, faults));
   text = json_faults_text (faults);
-  if (!strstr (text, path) || !strstr (text, what))
-    fail_msg ("wanted %s: %s; got %s", path, what, text);
+  if (!strstr (text, path) || !strstr (text, expected))
+    fail_msg ("wanted %s: %s; got %s", path, expected, text);
   json_faults_destroy (faults);
   snapshot_unref (base);
 }
--- a/core/tests/test-evacuations.c
+++ b/core/tests/test-evacuations.c
@@ -8,7 +8,7 @@
 #include <core/evacuations.h>
 
 static gboolean
-take (Evacuations *evacuations, guint64 era, guint64 revision, const char *halls)
+update (Evacuations *evacuations, guint64 era, guint64 revision, const char *halls)
 {
   g_auto (GStrv) names = g_strsplit (halls, " ", 0);
   g_autoptr (GPtrArray) array = g_ptr_array_new ();
@@ -25,13 +25,13 @@
   Evacuations *evacuations = evacuations_create ();
 
   assert_false (evacuations_has (evacuations, "a"));
-  assert_true (take (evacuations, 1, 100, "a"));
+  assert_true (update (evacuations, 1, 100, "a"));
   assert_true (evacuations_has (evacuations, "a"));
   /* An older reading that arrives late or one of the same revision changes nothing. */
-  assert_false (take (evacuations, 1, 90, ""));
-  assert_false (take (evacuations, 1, 100, "b"));
+  assert_false (update (evacuations, 1, 90, ""));
+  assert_false (update (evacuations, 1, 100, "b"));
   assert_true (evacuations_has (evacuations, "a"));
-  assert_true (take (evacuations, 1, 140, "b"));
+  assert_true (update (evacuations, 1, 140, "b"));
   assert_false (evacuations_has (evacuations, "a"));
   assert_true (evacuations_has (evacuations, "b"));
   evacuations_destroy (evacuations);
@@ -44,8 +44,8 @@
 {
   Evacuations *evacuations = evacuations_create ();
 
-  assert_false (take (evacuations, 0, 150, ""));
-  assert_false (take (evacuations, 0, 120, "a"));
+  assert_false (update (evacuations, 0, 150, ""));
+  assert_false (update (evacuations, 0, 120, "a"));
   assert_false (evacuations_has (evacuations, "a"));
   evacuations_destroy (evacuations);
 }
@@ -57,10 +57,10 @@
 {
   Evacuations *evacuations = evacuations_create ();
 
-  assert_true (take (evacuations, 1, 1000, "a b"));
-  assert_true (take (evacuations, 2, 700, "b"));
+  assert_true (update (evacuations, 1, 1000, "a b"));
+  assert_true (update (evacuations, 2, 700, "b"));
   assert_false (evacuations_has (evacuations, "a"));
-  assert_false (take (evacuations, 1, 1100, "a"));
+  assert_false (update (evacuations, 1, 1100, "a"));
   assert_int_equal (evacuations_era (evacuations), 2);
   assert_int_equal (evacuations_revision (evacuations), 700);
   evacuations_destroy (evacuations);
@@ -71,8 +71,8 @@
 {
   Evacuations *evacuations = evacuations_create ();
 
-  assert_true (take (evacuations, 0, 1, "b a"));
-  assert_false (take (evacuations, 0, 2, "a b a"));
+  assert_true (update (evacuations, 0, 1, "b a"));
+  assert_false (update (evacuations, 0, 2, "a b a"));
   assert_int_equal (evacuations_halls (evacuations)->len, 2);
   assert_string_equal (g_ptr_array_index (evacuations_halls (evacuations), 0), "a");
   evacuations_destroy (evacuations);
--- a/core/tests/test-quarantine.c
+++ b/core/tests/test-quarantine.c
@@ -61,7 +61,7 @@
 }
 
 static void
-pass (Fixture *fixture, gint64 us)
+advance (Fixture *fixture, gint64 us)
 {
   clock_advance (fixture->clock, us);
   for (guint i = 0; i < NODES; i++)
@@ -79,7 +79,7 @@
 }
 
 static void
-tell (Fixture *fixture, guint from, guint to)
+send_updates (Fixture *fixture, guint from, guint to)
 {
   QuarantineUpdate updates[UPDATES_MAX];
   guint count = quarantine_next_part (fixture->nodes[from], updates, UPDATES_MAX);
@@ -96,7 +96,7 @@
     for (guint i = 0; i < NODES; i++)
       for (guint j = 0; j < NODES; j++)
         if (i != j)
-          tell (fixture, i, j);
+          send_updates (fixture, i, j);
 }
 
 static QuarantineState
@@ -112,17 +112,17 @@
   for (guint i = 0; i < QUARANTINE_ENDS_LIMIT; i++)
     {
       crash_under (fixture, i, request, 1);
-      pass (fixture, CRASH_GAP_US);
+      advance (fixture, CRASH_GAP_US);
     }
 }
 
 /* Quarantines the request and makes its first trial, which crashes a target too. */
 static void
-hold (Fixture *fixture, const Fingerprint *request)
+quarantine_and_try (Fixture *fixture, const Fingerprint *request)
 {
   crash_three_targets (fixture, request);
   exchange_all_updates (fixture);
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   exchange_all_updates (fixture);
   assert_true (quarantine_begin_trial (fixture->nodes[0], request));
   crash_under (fixture, 0, request, 1);
@@ -137,7 +137,7 @@
 
   crash_three_targets (fixture, &deadly);
   exchange_all_updates (fixture);
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   for (guint i = 0; i < NODES; i++)
     assert_true (state_at (fixture, i, &deadly) >= QUARANTINE_TRIAL);
   assert_int_equal (state_at (fixture, 3, &sound), QUARANTINE_FREE);
@@ -149,10 +149,10 @@
   Fixture *fixture = *state;
 
   crash_under (fixture, 0, &deadly, 1);
-  pass (fixture, CRASH_GAP_US);
+  advance (fixture, CRASH_GAP_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_SUSPECT);
   crash_under (fixture, 0, &deadly, 1);
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_DOUBTED);
 }
 
@@ -163,11 +163,11 @@
   Fixture *fixture = *state;
 
   crash_under (fixture, 0, &deadly, 1);
-  pass (fixture, CRASH_GAP_US);
+  advance (fixture, CRASH_GAP_US);
   crash_under (fixture, 1, &deadly, 1);
   for (guint i = 0; i < 5; i++)
     exchange_all_updates (fixture);
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &deadly), QUARANTINE_DOUBTED);
   assert_int_equal (quarantine_digest (fixture->nodes[0]),
@@ -187,7 +187,7 @@
       clock_advance (fixture->clock, 2 * MS_US);
     }
   exchange_all_updates (fixture);
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &sound), QUARANTINE_SUSPECT);
 }
 
@@ -202,11 +202,11 @@
     {
       crash_under (fixture, i % NODES, &sound, 1);
       exchange_all_updates (fixture);
-      pass (fixture, CRASH_GAP_US / 2);
+      advance (fixture, CRASH_GAP_US / 2);
       assert_true (state_at (fixture, 0, &sound) < QUARANTINE_TRIAL);
       assert_true (quarantine_note_answer (fixture->nodes[(i + 1) % NODES], &sound));
       exchange_all_updates (fixture);
-      pass (fixture, CRASH_GAP_US / 2);
+      advance (fixture, CRASH_GAP_US / 2);
       for (guint j = 0; j < NODES; j++)
         assert_int_equal (state_at (fixture, j, &sound), QUARANTINE_FREE);
     }
@@ -220,12 +220,12 @@
 
   crash_three_targets (fixture, &sound);
   exchange_all_updates (fixture);
-  pass (fixture, QUARANTINE_SETTLE_US - CRASH_GAP_US - MS_US);
+  advance (fixture, QUARANTINE_SETTLE_US - CRASH_GAP_US - MS_US);
   for (guint i = 0; i < NODES; i++)
     assert_true (state_at (fixture, i, &sound) < QUARANTINE_TRIAL);
   assert_true (quarantine_note_answer (fixture->nodes[3], &sound));
   exchange_all_updates (fixture);
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   for (guint i = 0; i < NODES; i++)
     assert_int_equal (state_at (fixture, i, &sound), QUARANTINE_FREE);
 }
@@ -246,9 +246,9 @@
         work[j] = (Fingerprint){ ((guint64)i << 56) | ((guint64)j << 40) | 1, 0 };
       crash_under (fixture, i % NODES, work, count);
       exchange_all_updates (fixture);
-      pass (fixture, CRASH_GAP_US);
+      advance (fixture, CRASH_GAP_US);
     }
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   for (guint i = 0; i < NODES; i++)
     {
       const GArray *entries = quarantine_entries (fixture->nodes[i]);
@@ -274,11 +274,11 @@
   exchange_all_updates (fixture);
   for (guint i = 0; i < 3; i++)
     {
-      pass (fixture, CRASH_GAP_US);
+      advance (fixture, CRASH_GAP_US);
       crash_under (fixture, i, both, 2);
       exchange_all_updates (fixture);
     }
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   assert_true (state_at (fixture, 3, &deadly) >= QUARANTINE_TRIAL);
   assert_true (state_at (fixture, 3, &other) < QUARANTINE_TRIAL);
 }
@@ -294,10 +294,10 @@
   for (guint i = 0; i < QUARANTINE_ENDS_LIMIT; i++)
     {
       crash_under (fixture, i, both, 2);
-      pass (fixture, CRASH_GAP_US);
+      advance (fixture, CRASH_GAP_US);
     }
   exchange_all_updates (fixture);
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &other), QUARANTINE_TRIAL);
   assert_true (quarantine_begin_trial (fixture->nodes[0], &other));
   assert_true (quarantine_begin_trial (fixture->nodes[0], &deadly));
@@ -317,14 +317,14 @@
   Fixture *fixture = *state;
   const Fingerprint both[] = { other, deadly };
 
-  hold (fixture, &deadly);
+  quarantine_and_try (fixture, &deadly);
   for (guint i = 0; i < QUARANTINE_ENDS_LIMIT; i++)
     {
-      pass (fixture, CRASH_GAP_US);
+      advance (fixture, CRASH_GAP_US);
       crash_under (fixture, i, both, 2);
       exchange_all_updates (fixture);
     }
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &other), QUARANTINE_FREE);
 }
 
@@ -336,20 +336,20 @@
   Fixture *fixture = *state;
   QuarantineVerdict verdict;
 
-  hold (fixture, &deadly);
+  quarantine_and_try (fixture, &deadly);
   for (guint i = 0; i < NODES; i++)
     assert_false (quarantine_begin_trial (fixture->nodes[i], &deadly));
   verdict = quarantine_check (fixture->nodes[3], &deadly);
   assert_int_equal (verdict.state, QUARANTINE_HELD);
   assert_in_range (verdict.retry_after_us, QUARANTINE_PAUSE_FIRST_US - SECOND_US,
                    QUARANTINE_PAUSE_FIRST_US);
-  pass (fixture, QUARANTINE_PAUSE_FIRST_US);
+  advance (fixture, QUARANTINE_PAUSE_FIRST_US);
   assert_true (quarantine_begin_trial (fixture->nodes[1], &deadly));
   crash_under (fixture, 1, &deadly, 1);
   exchange_all_updates (fixture);
-  pass (fixture, QUARANTINE_PAUSE_SECOND_US - SECOND_US);
+  advance (fixture, QUARANTINE_PAUSE_SECOND_US - SECOND_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_HELD);
-  pass (fixture, SECOND_US);
+  advance (fixture, SECOND_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_TRIAL);
 }
 
@@ -362,14 +362,14 @@
 
   crash_three_targets (fixture, &deadly);
   exchange_all_updates (fixture);
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   assert_true (quarantine_begin_trial (fixture->nodes[0], &deadly));
   quarantine_trial_undecided (fixture->nodes[0], &deadly);
   assert_false (quarantine_begin_trial (fixture->nodes[0], &deadly));
-  pass (fixture, QUARANTINE_PAUSE_UNDECIDED_US);
+  advance (fixture, QUARANTINE_PAUSE_UNDECIDED_US);
   assert_true (quarantine_begin_trial (fixture->nodes[0], &deadly));
   quarantine_trial_undecided (fixture->nodes[0], &deadly);
-  pass (fixture, QUARANTINE_PAUSE_UNDECIDED_US);
+  advance (fixture, QUARANTINE_PAUSE_UNDECIDED_US);
   assert_false (quarantine_begin_trial (fixture->nodes[0], &deadly));
 }
 
@@ -378,8 +378,8 @@
 {
   Fixture *fixture = *state;
 
-  hold (fixture, &sound);
-  pass (fixture, QUARANTINE_PAUSE_FIRST_US);
+  quarantine_and_try (fixture, &sound);
+  advance (fixture, QUARANTINE_PAUSE_FIRST_US);
   assert_true (quarantine_begin_trial (fixture->nodes[2], &sound));
   assert_true (quarantine_note_answer (fixture->nodes[2], &sound));
   exchange_all_updates (fixture);
@@ -395,7 +395,7 @@
   QuarantineUpdate old[UPDATES_MAX];
   guint count;
 
-  hold (fixture, &sound);
+  quarantine_and_try (fixture, &sound);
   count = quarantine_next_part (fixture->nodes[0], old, UPDATES_MAX);
   quarantine_note_answer (fixture->nodes[1], &sound);
   exchange_all_updates (fixture);
@@ -410,12 +410,12 @@
 {
   Fixture *fixture = *state;
 
-  hold (fixture, &deadly);
+  quarantine_and_try (fixture, &deadly);
   quarantine_destroy (fixture->nodes[3]);
   fixture->nodes[3] = quarantine_create (fixture->clock);
   assert_int_not_equal (quarantine_digest (fixture->nodes[3]),
                         quarantine_digest (fixture->nodes[0]));
-  tell (fixture, 0, 3);
+  send_updates (fixture, 0, 3);
   assert_int_equal (state_at (fixture, 3, &deadly), QUARANTINE_HELD);
   assert_int_equal (quarantine_digest (fixture->nodes[3]),
                     quarantine_digest (fixture->nodes[0]));
@@ -428,13 +428,13 @@
   Fixture *fixture = *state;
 
   crash_under (fixture, 0, &deadly, 1);
-  pass (fixture, CRASH_GAP_US);
+  advance (fixture, CRASH_GAP_US);
   crash_under (fixture, 1, &deadly, 1);
-  tell (fixture, 0, 1);
-  pass (fixture, CRASH_GAP_US);
+  send_updates (fixture, 0, 1);
+  advance (fixture, CRASH_GAP_US);
   crash_under (fixture, 2, &deadly, 1);
-  tell (fixture, 2, 3);
-  pass (fixture, SETTLED_US);
+  send_updates (fixture, 2, 3);
+  advance (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 1, &deadly), QUARANTINE_DOUBTED);
   assert_int_equal (state_at (fixture, 3, &deadly), QUARANTINE_SUSPECT);
   exchange_all_updates (fixture);
@@ -448,9 +448,9 @@
   Fixture *fixture = *state;
 
   crash_under (fixture, 0, &deadly, 1);
-  pass (fixture, QUARANTINE_RETENTION_US - SECOND_US);
+  advance (fixture, QUARANTINE_RETENTION_US - SECOND_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_SUSPECT);
-  pass (fixture, 2 * SECOND_US);
+  advance (fixture, 2 * SECOND_US);
   assert_int_equal (quarantine_entries (fixture->nodes[0])->len, 0);
   assert_int_equal (quarantine_digest (fixture->nodes[0]), 0);
 }
@@ -462,8 +462,8 @@
 {
   Fixture *fixture = *state;
 
-  hold (fixture, &deadly);
-  pass (fixture, QUARANTINE_PAUSE_FIRST_US + QUARANTINE_PAUSE_MAX_US + SECOND_US);
+  quarantine_and_try (fixture, &deadly);
+  advance (fixture, QUARANTINE_PAUSE_FIRST_US + QUARANTINE_PAUSE_MAX_US + SECOND_US);
   assert_int_equal (quarantine_entries (fixture->nodes[0])->len, 0);
 }
 
@@ -473,7 +473,7 @@
 {
   Fixture *fixture = *state;
 
-  hold (fixture, &deadly);
+  quarantine_and_try (fixture, &deadly);
   for (guint i = 0; i < 10000; i++)
     {
       const Fingerprint fresh = { 0xf00dull << 40 | i, 0 };
@@ -523,13 +523,13 @@
   crash_under (fixture, 0, &deadly, 1);
   for (guint i = 0; i < 2; i++)
     {
-      pass (fixture, CRASH_GAP_US);
+      advance (fixture, CRASH_GAP_US);
       for (guint j = 0; j < G_N_ELEMENTS (work); j++)
         work[j] = (Fingerprint){ (guint64)(i + 1) << 48 | j << 8 | 1, 0 };
       work[G_N_ELEMENTS (work) - 1] = deadly;
       crash_under (fixture, 0, work, G_N_ELEMENTS (work));
     }
-  pass (fixture, SETTLED_US);
+  advance (fixture, SETTLED_US);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_TRIAL);
 }
 
@@ -540,7 +540,7 @@
 {
   Fixture *fixture = *state;
 
-  hold (fixture, &deadly);
+  quarantine_and_try (fixture, &deadly);
   quarantine_note_version (fixture->nodes[0], SERVICE, VERSION);
   assert_int_equal (state_at (fixture, 0, &deadly), QUARANTINE_HELD);
   quarantine_note_version (fixture->nodes[0], SERVICE + 1, VERSION + 1);
@@ -560,7 +560,7 @@
   Fixture *fixture = *state;
   g_autofree char *digits = fingerprint_text (&deadly);
 
-  hold (fixture, &deadly);
+  quarantine_and_try (fixture, &deadly);
   assert_false (quarantine_lift (fixture->nodes[0], "00000000"));
   assert_true (quarantine_lift (fixture->nodes[0], digits));
   assert_false (quarantine_lift (fixture->nodes[0], digits));
@@ -575,12 +575,12 @@
 {
   Fixture *fixture = *state;
   QuarantineUpdate updates[UPDATES_MAX];
-  guint told = 0;
+  guint sent = 0;
 
   crash_three_targets (fixture, &deadly);
-  while (quarantine_urgency (fixture->nodes[0]) != QUARANTINE_UPDATES_NONE && told < 1000)
-    told += quarantine_next_updates (fixture->nodes[0], updates, 1);
-  assert_in_range (told, 1, 20);
+  while (quarantine_urgency (fixture->nodes[0]) != QUARANTINE_UPDATES_NONE && sent < 1000)
+    sent += quarantine_next_updates (fixture->nodes[0], updates, 1);
+  assert_in_range (sent, 1, 20);
   assert_int_equal (quarantine_next_updates (fixture->nodes[0], updates, UPDATES_MAX), 0);
 }
 
@@ -614,7 +614,7 @@
     {
       crash_under (fixture, (i * 7) % NODES, &sound, 1);
       if (i % 3 == 0)
-        tell (fixture, i % NODES, (i + 1) % NODES);
+        send_updates (fixture, i % NODES, (i + 1) % NODES);
       clock_advance (fixture->clock, MS_US);
     }
   exchange_all_updates (fixture);
--- a/core/tests/test-retry.c
+++ b/core/tests/test-retry.c
@@ -103,17 +103,17 @@
   while (clock_now (fleet.clock) < LENGTH_US)
     {
       Holder *holder = &fleet.holders[g_rand_int_range (fleet.rand, 0, HOLDERS)];
-      guint what = (guint)g_rand_int_range (fleet.rand, 0, 1000);
+      guint event = (guint)g_rand_int_range (fleet.rand, 0, 1000);
 
-      if (what == 0)
+      if (event == 0)
         start (&fleet, holder, FALSE);
       /* Failures come in bursts. */
-      else if (what < 20)
+      else if (event < 20)
         for (guint i = 0; i < 40; i++)
           ask (&fleet, &fleet.holders[g_rand_int_range (fleet.rand, 0, HOLDERS)],
                RETRY_FURTHER_ATTEMPT);
       else
-        ask (&fleet, holder, what < 700 ? RETRY_FIRST_ATTEMPT : RETRY_FURTHER_ATTEMPT);
+        ask (&fleet, holder, event < 700 ? RETRY_FIRST_ATTEMPT : RETRY_FURTHER_ATTEMPT);
       clock_advance (fleet.clock, SECOND_US / 10 / rate);
     }
   check (&fleet, seed);
