--- a/bench/src/allowance-net-load.c
+++ b/bench/src/allowance-net-load.c
@@ -3,11 +3,11 @@
 #include <math.h>
 
 const char *
-allowance_scheme_name (AllowanceScheme way)
+allowance_scheme_name (AllowanceScheme scheme)
 {
   static const char *const names[] = { "equal", "no-wait", "lent" };
 
-  return names[way];
+  return names[scheme];
 }
 
 const char *
@@ -22,11 +22,11 @@
 SimNode *
 sim_pick_node (Sim *sim)
 {
-  guint nodes = sim->it->nodes;
+  guint nodes = sim->params->nodes;
   guint second = (guint)(sim_now (sim) / SECOND_US);
   guint i = (guint)g_rand_int_range (sim->rand, 0, (gint32)nodes);
 
-  switch (sim->it->pattern)
+  switch (sim->params->pattern)
     {
     case ALLOWANCE_STEADY:
       return &sim->nodes[i - i % 4];
@@ -45,11 +45,11 @@
 double
 sim_demand (const Sim *sim)
 {
-  gboolean usual = sim->it->pattern == ALLOWANCE_STEADY ||
-                   sim->it->pattern == ALLOWANCE_MOVING ||
-                   sim->it->pattern == ALLOWANCE_SMALL;
+  gboolean usual = sim->params->pattern == ALLOWANCE_STEADY ||
+                   sim->params->pattern == ALLOWANCE_MOVING ||
+                   sim->params->pattern == ALLOWANCE_SMALL;
 
-  return (sim->it->pattern == ALLOWANCE_SMALL ? 1 : LARGE_PER_S) *
+  return (sim->params->pattern == ALLOWANCE_SMALL ? 1 : LARGE_PER_S) *
          (usual ? NORMAL_DEMAND : HIGH_DEMAND);
 }
 
@@ -59,31 +59,33 @@
   guint begin = FAULT_S * STEPS_PER_S;
   gint64 now = clock_now (sim->clock);
 
-  if (sim->it->pattern == ALLOWANCE_CUT && step == begin + DETECT_S * STEPS_PER_S)
+  if (sim->params->pattern == ALLOWANCE_CUT && step == begin + DETECT_S * STEPS_PER_S)
     {
       sim->cut = TRUE;
       sim->fleet_size_until_us = now + FLEET_SIZE_KEPT_US;
       sim_fill_view (sim, 0);
       sim_fill_view (sim, 1);
     }
-  if (sim->it->pattern == ALLOWANCE_CUT && step == begin + (CUT_S + HEAL_S) * STEPS_PER_S)
+  if (sim->params->pattern == ALLOWANCE_CUT &&
+      step == begin + (CUT_S + HEAL_S) * STEPS_PER_S)
     {
       sim->cut = FALSE;
       sim_fill_view (sim, 0);
       sim_fill_view (sim, 1);
     }
-  for (guint i = 0; sim->it->pattern == ALLOWANCE_RESTART && i < sim->it->nodes; i++)
+  for (guint i = 0; sim->params->pattern == ALLOWANCE_RESTART && i < sim->params->nodes;
+       i++)
     if (step == begin + (i * 7919u) % STEPS_PER_S)
       sim_start_node (sim, &sim->nodes[i]);
-  if (sim->it->pattern == ALLOWANCE_LOWERED && step == begin)
+  if (sim->params->pattern == ALLOWANCE_LOWERED && step == begin)
     {
       sim->terms.per_s /= 10;
       sim->terms.burst /= 10;
-      for (guint i = 0; i < sim->it->nodes; i++)
+      for (guint i = 0; i < sim->params->nodes; i++)
         sim->nodes[i].config_us =
             now + g_rand_int_range (sim->rand, 0, CONFIG_S * (gint32)SECOND_US);
     }
-  for (guint i = 0; i < sim->it->nodes; i++)
+  for (guint i = 0; i < sim->params->nodes; i++)
     if (sim->nodes[i].config_us > 0 && now >= sim->nodes[i].config_us)
       sim->nodes[i].terms = sim->terms;
 }
@@ -105,11 +107,11 @@
   double worst = 0;
   guint sum = 0;
 
-  if (sim->it->pattern == ALLOWANCE_LOWERED)
+  if (sim->params->pattern == ALLOWANCE_LOWERED)
     high = window_bound (&(AllowanceTerms){ LARGE_PER_S, LARGE_PER_S });
   for (guint i = 0; i < STEPS; i++)
     {
-      gboolean lowered = sim->it->pattern == ALLOWANCE_LOWERED && i >= lower;
+      gboolean lowered = sim->params->pattern == ALLOWANCE_LOWERED && i >= lower;
 
       sum += sim->passed[i] - (i >= span ? sim->passed[i - span] : 0);
       worst = MAX (worst, sum / (lowered ? window_bound (&sim->terms) : high));
--- a/bench/src/allowance-net-private.h
+++ b/bench/src/allowance-net-private.h
@@ -55,7 +55,7 @@
 
 typedef struct
 {
-  const AllowanceCase *it;
+  const AllowanceCase *params;
   Clock *clock;
   GRand *rand;
   SimNode *nodes;
--- a/bench/src/allowance-net.c
+++ b/bench/src/allowance-net.c
@@ -22,7 +22,7 @@
 
   sim->lender_counts[view] = allowance_select_lenders (sim->views[view], "acme", names);
   for (guint i = 0; i < sim->lender_counts[view]; i++)
-    for (guint j = 0; j < sim->it->nodes; j++)
+    for (guint j = 0; j < sim->params->nodes; j++)
       if (sim->nodes[j].name == names[i])
         sim->lenders[view][i] = j;
 }
@@ -33,7 +33,7 @@
   gboolean whole = !sim->cut;
 
   g_array_set_size (sim->views[view], 0);
-  for (guint i = 0; i < sim->it->nodes; i++)
+  for (guint i = 0; i < sim->params->nodes; i++)
     {
       AllowanceNode node = { sim->nodes[i].name, sim->hall_names[sim->nodes[i].hall],
                              allowance_hash (sim->nodes[i].name) };
@@ -58,25 +58,25 @@
 }
 
 static Sim *
-sim_create (const AllowanceCase *it)
+sim_create (const AllowanceCase *params)
 {
-  double per_s = it->pattern == ALLOWANCE_SMALL ? 1 : LARGE_PER_S;
+  double per_s = params->pattern == ALLOWANCE_SMALL ? 1 : LARGE_PER_S;
   Sim *sim = g_new0 (Sim, 1);
 
-  sim->it = it;
+  sim->params = params;
   sim->clock = clock_create_manual (0);
-  sim->rand = g_rand_new_with_seed (it->seed);
-  sim->halls = halls_for_size (it->nodes);
+  sim->rand = g_rand_new_with_seed (params->seed);
+  sim->halls = halls_for_size (params->nodes);
   sim->terms = (AllowanceTerms){ per_s, per_s };
   sim->reference_level = per_s;
   sim->passed = g_new0 (guint, STEPS + 1);
-  sim->nodes = g_new0 (SimNode, it->nodes);
+  sim->nodes = g_new0 (SimNode, params->nodes);
   sim->hall_names = g_new0 (char *, sim->halls + 1);
   for (guint i = 0; i < sim->halls; i++)
     sim->hall_names[i] = g_strdup_printf ("hall-%u", i);
-  for (guint i = 0; i < it->nodes; i++)
+  for (guint i = 0; i < params->nodes; i++)
     {
-      sim->nodes[i].name = g_strdup_printf ("vm-%u-%u", it->seed, i);
+      sim->nodes[i].name = g_strdup_printf ("vm-%u-%u", params->seed, i);
       sim->nodes[i].hall = i % sim->halls;
       sim->nodes[i].terms = sim->terms;
       sim_start_node (sim, &sim->nodes[i]);
@@ -93,7 +93,7 @@
 static void
 sim_destroy (Sim *sim)
 {
-  for (guint i = 0; i < sim->it->nodes; i++)
+  for (guint i = 0; i < sim->params->nodes; i++)
     {
       allowance_buckets_destroy (sim->nodes[i].buckets);
       allowance_cache_destroy (sim->nodes[i].cache);
@@ -138,7 +138,7 @@
 
   if (clock_now (sim->clock) >= sim->fleet_size_until_us)
     return 1;
-  return (double)seen / sim->it->nodes;
+  return (double)seen / sim->params->nodes;
 }
 
 /* Lends out of the lender's bucket. Returns FALSE if the node is no lender in its own
@@ -187,7 +187,7 @@
 can_reach (const Sim *sim, const SimNode *from, const SimNode *to)
 {
   gint64 now = sim_now (sim);
-  gboolean apart = sim->it->pattern == ALLOWANCE_CUT && now >= FAULT_S * SECOND_US &&
+  gboolean apart = sim->params->pattern == ALLOWANCE_CUT && now >= FAULT_S * SECOND_US &&
                    now < (FAULT_S + CUT_S) * SECOND_US;
 
   return !apart || (from->hall == 0) == (to->hall == 0);
@@ -206,7 +206,7 @@
     return;
   serve (sim, node);
   node->wanted = node->waiting + allowance_cache_prefetch_count (node->cache, "acme");
-  if (sim->it->way == ALLOWANCE_NO_WAIT)
+  if (sim->params->scheme == ALLOWANCE_NO_WAIT)
     node->wanted = MAX (node->wanted, 1);
   if (node->wanted == 0)
     return;
@@ -260,16 +260,16 @@
 }
 
 static void
-come (Sim *sim, SimNode *node)
+on_request (Sim *sim, SimNode *node)
 {
   AllowanceGrant grant;
 
   sim->asked++;
   count_reference (sim);
-  if (sim->it->way == ALLOWANCE_EQUAL)
+  if (sim->params->scheme == ALLOWANCE_EQUAL)
     {
       grant = allowance_buckets_lend (node->buckets, "acme", &node->terms,
-                                      1.0 / sim->it->nodes, node->started_us, 1);
+                                      1.0 / sim->params->nodes, node->started_us, 1);
       if (grant.lent)
         let_through (sim, node);
       else
@@ -278,7 +278,7 @@
     }
   if (node->waiting == 0 && allowance_cache_take (node->cache, "acme"))
     let_through (sim, node);
-  else if (sim->it->way == ALLOWANCE_NO_WAIT)
+  else if (sim->params->scheme == ALLOWANCE_NO_WAIT)
     sim->refused++;
   else if (node->waiting++ == 0)
     node->waits_since_us = clock_now (sim->clock);
@@ -286,9 +286,9 @@
 }
 
 AllowanceResult
-allowance_net_run (const AllowanceCase *it)
+allowance_net_run (const AllowanceCase *params)
 {
-  Sim *sim = sim_create (it);
+  Sim *sim = sim_create (params);
   AllowanceResult result;
 
   for (guint step = 0; step < STEPS; step++)
@@ -298,11 +298,11 @@
       sim_apply_faults (sim, step);
       sim->reference_level =
           MIN (sim->reference_level + sim->terms.per_s / STEPS_PER_S, sim->terms.burst);
-      for (guint i = 0; i < it->nodes; i++)
+      for (guint i = 0; i < params->nodes; i++)
         if (sim->nodes[i].due_us > 0 && clock_now (sim->clock) >= sim->nodes[i].due_us)
           handle_lend_answer (sim, &sim->nodes[i]);
       for (guint count = sim_arrivals (sim, expected); count > 0; count--)
-        come (sim, sim_pick_node (sim));
+        on_request (sim, sim_pick_node (sim));
       clock_advance (sim->clock, STEP_US);
     }
   result.worst = sim_worst_window (sim);
@@ -310,7 +310,7 @@
   result.own = sim->ideal ? (double)sim->let / sim->ideal : 0;
   result.longest_wait_ms = (double)sim->longest_wait_us / MS_US;
   result.bytes =
-      sim->messages * (LEND_REQUEST_BYTES + ANSWER_BYTES) / 2 / RUN_S / it->nodes;
+      sim->messages * (LEND_REQUEST_BYTES + ANSWER_BYTES) / 2 / RUN_S / params->nodes;
   sim_destroy (sim);
   return result;
 }
--- a/bench/src/allowance-net.h
+++ b/bench/src/allowance-net.h
@@ -31,7 +31,7 @@
 
 typedef struct
 {
-  AllowanceScheme way;
+  AllowanceScheme scheme;
   AllowancePattern pattern;
   guint nodes;
   guint seed;
@@ -46,7 +46,7 @@
   double bytes;           /* per second and node, in each direction */
 } AllowanceResult;
 
-const char *allowance_scheme_name (AllowanceScheme way);
+const char *allowance_scheme_name (AllowanceScheme scheme);
 const char *allowance_pattern_name (AllowancePattern pattern);
 
 AllowanceResult allowance_net_run (const AllowanceCase *it);
--- a/bench/src/bench-members.c
+++ b/bench/src/bench-members.c
@@ -31,7 +31,7 @@
 
 /* Restarts `restarts` nodes, evenly spread over the measured time. */
 static void
-measure (MemberNet *net, const char *what, guint restarts)
+measure (MemberNet *net, const char *label, guint restarts)
 {
   guint64 bytes = sent_bytes (net);
   double cpu = cpu_seconds ();
@@ -45,7 +45,7 @@
       member_net_run (net, 1);
     }
   printf ("members-%u-%s bytes-sent-per-node-second %.0f cpu-percent-of-a-core %.3f\n",
-          net->count, what, (double)(sent_bytes (net) - bytes) / node_seconds,
+          net->count, label, (double)(sent_bytes (net) - bytes) / node_seconds,
           100 * (cpu_seconds () - cpu) / node_seconds);
 }
 
--- a/bench/src/bench-quarantine.c
+++ b/bench/src/bench-quarantine.c
@@ -19,17 +19,17 @@
 } sizes[] = { { 31, 4 }, { 93, 3 }, { 353, 5 }, { 1200, 23 } };
 
 static QuarantineResult
-worst_result (const QuarantineCase *it)
+worst_result (const QuarantineCase *params)
 {
   QuarantineResult worst = { 0 };
 
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
-      QuarantineCase one = *it;
+      QuarantineCase seeded = *params;
       QuarantineResult result;
 
-      one.seed = seed;
-      result = quarantine_net_run (&one);
+      seeded.seed = seed;
+      result = quarantine_net_run (&seeded);
       if (result.last_us < 0 || worst.last_us < 0)
         worst.last_us = -1;
       else
@@ -42,14 +42,15 @@
 }
 
 static void
-print_case (const QuarantineCase *it)
+print_case (const QuarantineCase *params)
 {
-  QuarantineResult worst = worst_result (it);
+  QuarantineResult worst = worst_result (params);
   double seconds = (double)QUARANTINE_SPAN_US / 1e6;
 
   printf ("%-6s %-6s %5u last-ms %6.0f bytes-a-second %6.0f most %6.0f innocent %u\n",
-          quarantine_scheme_name (it->way), quarantine_pattern_name (it->pattern),
-          it->nodes, (double)worst.last_us / 1e3, worst.mean_bytes / seconds,
+          quarantine_scheme_name (params->scheme),
+          quarantine_pattern_name (params->pattern), params->nodes,
+          (double)worst.last_us / 1e3, worst.mean_bytes / seconds,
           worst.worst_bytes / seconds, worst.innocent);
 }
 
@@ -82,9 +83,9 @@
   for (guint i = 0; i < QUARANTINE_ENTRIES_MAX; i++)
     {
       g_autoptr (GArray) work = g_array_new (FALSE, FALSE, sizeof (Fingerprint));
-      Fingerprint one = { i + 1, i + 1 };
+      Fingerprint request = { i + 1, i + 1 };
 
-      g_array_append_val (work, one);
+      g_array_append_val (work, request);
       quarantine_note_end (list, i, quarantine_service_hash (words.service), 0, work);
     }
   began = cpu_us ();
@@ -124,11 +125,12 @@
 {
   for (guint size = 0; size < G_N_ELEMENTS (sizes); size++)
     for (guint pattern = 0; pattern < QUARANTINE_PATTERNS; pattern++)
-      for (guint way = 0; way < QUARANTINE_SCHEMES; way++)
+      for (guint scheme = 0; scheme < QUARANTINE_SCHEMES; scheme++)
         {
-          QuarantineCase it = { way, pattern, sizes[size].nodes, sizes[size].halls, 0 };
+          QuarantineCase params = { scheme, pattern, sizes[size].nodes, sizes[size].halls,
+                                    0 };
 
-          print_case (&it);
+          print_case (&params);
         }
   print_lookup_cost ();
   print_fingerprint_cost ();
--- a/bench/src/member-net.c
+++ b/bench/src/member-net.c
@@ -95,7 +95,7 @@
 }
 
 static void
-take (Members *members, const MemberUpdate *update)
+merge_update (Members *members, const MemberUpdate *update)
 {
   MemberDelta delta = members_delta (update->member);
 
@@ -121,7 +121,7 @@
   if (!passes (net, from, to))
     return FALSE;
   for (guint i = 0; i < updates->len; i++)
-    take (net->nodes[to].members, &g_array_index (updates, MemberUpdate, i));
+    merge_update (net->nodes[to].members, &g_array_index (updates, MemberUpdate, i));
   return TRUE;
 }
 
@@ -171,7 +171,7 @@
 }
 
 static void
-act (MemberNet *net, guint i, const MembersAction *action)
+perform (MemberNet *net, guint i, const MembersAction *action)
 {
   NetNode *node = &net->nodes[i];
   guint to = index_of (action->address);
@@ -200,7 +200,7 @@
     return;
   actions = members_tick (node->members);
   for (guint j = 0; j < actions->len; j++)
-    act (net, i, g_ptr_array_index (actions, j));
+    perform (net, i, g_ptr_array_index (actions, j));
 }
 
 void
--- a/bench/src/overload.c
+++ b/bench/src/overload.c
@@ -61,7 +61,7 @@
 
 typedef struct
 {
-  const OverloadCase *what;
+  const OverloadCase *params;
   Clock *clock;
   GRand *rand;
   GSequence *events;
@@ -302,7 +302,7 @@
   DispatchPolicy policy = { .repeatable = TRUE,
                             .slack_us = SECOND_US / 2,
                             .attempts_max = ATTEMPTS_MAX };
-  gint64 gap = (gint64)((double)SECOND_US / (sim->what->load * CAPACITY_PER_SECOND) *
+  gint64 gap = (gint64)((double)SECOND_US / (sim->params->load * CAPACITY_PER_SECOND) *
                         g_rand_double_range (sim->rand, 0, 2));
 
   request->refs = 1;
@@ -317,7 +317,7 @@
   schedule (sim, DEADLINE_US, EVENT_DEADLINE, request, 0);
   policy.deadline_us = request->deadline_us;
   request->dispatch = dispatch_create (&policy, sim->rand, sim->clock);
-  if (sim->what->guarded)
+  if (sim->params->guarded)
     perform_step (sim, request, dispatch_begin (request->dispatch));
   else
     send_unguarded (sim, request);
@@ -333,7 +333,7 @@
       arrive (sim);
       break;
     case EVENT_SERVED:
-      if (sim->what->guarded)
+      if (sim->params->guarded)
         served_guarded (sim, event->request, event->target);
       else
         served_unguarded (sim, event->request, event->target);
@@ -367,9 +367,9 @@
 }
 
 OverloadResult
-overload_run (const OverloadCase *what, guint seed)
+overload_run (const OverloadCase *params, guint seed)
 {
-  Sim sim = { .what = what,
+  Sim sim = { .params = params,
               .clock = clock_create_manual (0),
               .rand = g_rand_new_with_seed (seed),
               .events = g_sequence_new (NULL) };
@@ -382,8 +382,8 @@
     {
       sim.targets[i].admission = admission_create (SLOTS, QUEUE, sim.clock);
       sim.targets[i].detector = detector_create (
-          what->no_detection ? DETECTION_OFF : DETECTION_QUICK, sim.clock);
-      sim.targets[i].sick = what->sick && i < TARGETS / 2;
+          params->no_detection ? DETECTION_OFF : DETECTION_QUICK, sim.clock);
+      sim.targets[i].sick = params->sick && i < TARGETS / 2;
     }
   run (&sim);
   for (guint i = 0; i < OVERLOAD_PRIORITIES; i++)
--- a/bench/src/overload.h
+++ b/bench/src/overload.h
@@ -25,6 +25,6 @@
   double refused_ms; /* mean time until a failed request was answered */
 } OverloadResult;
 
-OverloadResult overload_run (const OverloadCase *what, guint seed);
+OverloadResult overload_run (const OverloadCase *params, guint seed);
 
 #endif
--- a/bench/src/quarantine-net.c
+++ b/bench/src/quarantine-net.c
@@ -52,23 +52,23 @@
 
 typedef struct
 {
-  const QuarantineCase *it;
+  const QuarantineCase *params;
   Clock *clock;
   GRand *rand;
   SimNode *nodes;
   GPtrArray **due; /* messages (Message) by the step of their arrival */
   guint step;
-  guint32 fresh;
+  guint32 id_counter;
 } Sim;
 
 static const Fingerprint deadly = { 0xdeadull << 48, 1 };
 
 const char *
-quarantine_scheme_name (QuarantineScheme way)
+quarantine_scheme_name (QuarantineScheme scheme)
 {
   static const char *const names[QUARANTINE_SCHEMES] = { "spread", "home" };
 
-  return names[way];
+  return names[scheme];
 }
 
 const char *
@@ -83,7 +83,7 @@
 static guint
 hall_of (const Sim *sim, guint node)
 {
-  return node % sim->it->halls;
+  return node % sim->params->halls;
 }
 
 static gsize
@@ -101,10 +101,11 @@
 send_message (Sim *sim, guint from, Message *message)
 {
   gboolean near = hall_of (sim, from) == hall_of (sim, message->to);
-  gint way = near ? NEAR_STEPS : g_rand_int_range (sim->rand, NEAR_STEPS, FAR_STEPS_MAX);
+  gint delay =
+      near ? NEAR_STEPS : g_rand_int_range (sim->rand, NEAR_STEPS, FAR_STEPS_MAX);
   guint step =
-      sim->step + (guint)(way + g_rand_int_range (sim->rand, 0, BUSY_STEPS_MAX + 1));
-  gboolean lost = sim->it->pattern == QUARANTINE_LOSS &&
+      sim->step + (guint)(delay + g_rand_int_range (sim->rand, 0, BUSY_STEPS_MAX + 1));
+  gboolean lost = sim->params->pattern == QUARANTINE_LOSS &&
                   g_rand_int_range (sim->rand, 0, 100) < LOSS_PERCENT;
 
   sim->nodes[from].bytes += bytes_of (message);
@@ -129,7 +130,7 @@
 }
 
 static void
-tell (Sim *sim, guint from, guint to)
+send_updates (Sim *sim, guint from, guint to)
 {
   Message *message = g_new0 (Message, 1);
 
@@ -144,7 +145,7 @@
 {
   for (;;)
     {
-      guint node = (guint)g_rand_int_range (sim->rand, 0, (gint32)sim->it->nodes);
+      guint node = (guint)g_rand_int_range (sim->rand, 0, (gint32)sim->params->nodes);
 
       if (node != from && (hall_of (sim, node) == hall_of (sim, from)) == near)
         return node;
@@ -161,9 +162,9 @@
   if (quarantine_urgency (own->list) == QUARANTINE_UPDATES_NONE)
     return;
   for (guint i = 0; i < NEAR_FANOUT; i++)
-    tell (sim, node, pick_random_node (sim, node, TRUE));
+    send_updates (sim, node, pick_random_node (sim, node, TRUE));
   for (guint i = 0; i < FAR_FANOUT; i++)
-    tell (sim, node, pick_random_node (sim, node, FALSE));
+    send_updates (sim, node, pick_random_node (sim, node, FALSE));
   own->spread_step = sim->step + (own->spread_urgent ? URGENT_STEPS : REPEAT_STEPS);
 }
 
@@ -186,16 +187,16 @@
 {
   return (guint)((request->head >> 17 ^ request->head >> 40) * 2654435761u +
                  number * 7919u) %
-         sim->it->nodes;
+         sim->params->nodes;
 }
 
 /* Records a crash that `node` has detected at its target. */
 static void
 note_end (Sim *sim, guint node, const GArray *work)
 {
-  guint32 id = ++sim->fresh * 2654435761u;
+  guint32 id = ++sim->id_counter * 2654435761u;
 
-  if (sim->it->way == QUARANTINE_SCHEME_SPREAD)
+  if (sim->params->scheme == QUARANTINE_SCHEME_SPREAD)
     {
       quarantine_note_end (sim->nodes[node].list, id, 1, 1, work);
       schedule_spread (sim, node);
@@ -228,7 +229,7 @@
     g_array_append_val (work, deadly);
   for (guint i = 0; i < others; i++)
     {
-      Fingerprint other = { (guint64)++sim->fresh << 20 | 1, 0 };
+      Fingerprint other = { (guint64)++sim->id_counter << 20 | 1, 0 };
 
       g_array_append_val (work, other);
     }
@@ -252,7 +253,7 @@
   SimNode *own = &sim->nodes[node];
 
   quarantine_tick (own->list);
-  if (sim->it->way == QUARANTINE_SCHEME_HOME)
+  if (sim->params->scheme == QUARANTINE_SCHEME_HOME)
     discard_suspect_news (sim, node);
   if (!own->held_us && quarantine_check (own->list, &deadly).state >= QUARANTINE_TRIAL)
     own->held_us = clock_now (sim->clock);
@@ -279,7 +280,7 @@
 static gboolean
 is_joining (const Sim *sim, guint node)
 {
-  return sim->it->pattern == QUARANTINE_JOIN && node == sim->it->nodes - 1;
+  return sim->params->pattern == QUARANTINE_JOIN && node == sim->params->nodes - 1;
 }
 
 static void
@@ -293,15 +294,15 @@
     {
       g_autoptr (GArray) work = create_work (sim, TRUE, OTHER_REQUESTS);
 
-      note_end (sim, 1 + ends * (sim->it->nodes / 4), work);
+      note_end (sim, 1 + ends * (sim->params->nodes / 4), work);
     }
-  if (sim->it->pattern != QUARANTINE_RACK || sim->step != FIRST_CRASH_STEP)
+  if (sim->params->pattern != QUARANTINE_RACK || sim->step != FIRST_CRASH_STEP)
     return;
   for (guint i = 0; i < RACK_TARGETS; i++)
     {
       g_autoptr (GArray) work = create_work (sim, FALSE, RACK_REQUESTS);
 
-      note_end (sim, (2 + i * sim->it->halls) % sim->it->nodes, work);
+      note_end (sim, (2 + i * sim->params->halls) % sim->params->nodes, work);
     }
 }
 
@@ -313,7 +314,7 @@
   crash_targets (sim);
   for (guint i = 0; i < due->len; i++)
     deliver (sim, g_ptr_array_index (due, i));
-  for (guint i = 0; i < sim->it->nodes; i++)
+  for (guint i = 0; i < sim->params->nodes; i++)
     {
       SimNode *node = &sim->nodes[i];
 
@@ -332,25 +333,25 @@
 }
 
 static Sim *
-sim_create (const QuarantineCase *it)
+sim_create (const QuarantineCase *params)
 {
   Sim *sim = g_new0 (Sim, 1);
 
-  sim->it = it;
+  sim->params = params;
   sim->clock = clock_create_manual (1000 * SECOND_US);
-  sim->rand = g_rand_new_with_seed (it->seed);
-  sim->nodes = g_new0 (SimNode, it->nodes);
+  sim->rand = g_rand_new_with_seed (params->seed);
+  sim->nodes = g_new0 (SimNode, params->nodes);
   sim->due = g_new0 (GPtrArray *, STEPS);
-  sim->fresh = it->seed * 100000;
+  sim->id_counter = params->seed * 100000;
   for (guint i = 0; i < STEPS; i++)
     sim->due[i] = g_ptr_array_new_with_free_func (g_free);
-  for (guint i = 0; i < it->nodes; i++)
+  for (guint i = 0; i < params->nodes; i++)
     {
       sim->nodes[i].list = quarantine_create (sim->clock);
       /* Nodes that detect a crash keep running; home node 0 stops as well. */
       sim->nodes[i].runs =
           !is_joining (sim, i) &&
-          !(it->pattern == QUARANTINE_GONE &&
+          !(params->pattern == QUARANTINE_GONE &&
             (i % STOPPED_DIVISOR == 3 || i == home_of (sim, &deadly, 0)));
     }
   return sim;
@@ -361,7 +362,7 @@
 {
   for (guint i = 0; i < STEPS; i++)
     g_ptr_array_unref (sim->due[i]);
-  for (guint i = 0; i < sim->it->nodes; i++)
+  for (guint i = 0; i < sim->params->nodes; i++)
     quarantine_destroy (sim->nodes[i].list);
   g_free (sim->due);
   g_free (sim->nodes);
@@ -393,7 +394,7 @@
   QuarantineResult result = { 0 };
   guint64 bytes = 0;
 
-  for (guint i = 0; i < sim->it->nodes; i++)
+  for (guint i = 0; i < sim->params->nodes; i++)
     {
       const SimNode *node = &sim->nodes[i];
       gint64 began_us =
@@ -407,14 +408,14 @@
       result.last_us =
           node->held_us ? MAX (result.last_us, node->held_us - began_us) : -1;
     }
-  result.mean_bytes = (double)bytes / sim->it->nodes;
+  result.mean_bytes = (double)bytes / sim->params->nodes;
   return result;
 }
 
 QuarantineResult
-quarantine_net_run (const QuarantineCase *it)
+quarantine_net_run (const QuarantineCase *params)
 {
-  Sim *sim = sim_create (it);
+  Sim *sim = sim_create (params);
   QuarantineResult result;
 
   for (sim->step = 0; sim->step < STEPS; sim->step++)
--- a/bench/src/quarantine-net.h
+++ b/bench/src/quarantine-net.h
@@ -33,7 +33,7 @@
 
 typedef struct
 {
-  QuarantineScheme way;
+  QuarantineScheme scheme;
   QuarantinePattern pattern;
   guint nodes;
   guint halls;
@@ -51,9 +51,9 @@
 
 #define QUARANTINE_SPAN_US (5 * SECOND_US)
 
-const char *quarantine_scheme_name (QuarantineScheme way);
+const char *quarantine_scheme_name (QuarantineScheme scheme);
 const char *quarantine_pattern_name (QuarantinePattern pattern);
 
-QuarantineResult quarantine_net_run (const QuarantineCase *it);
+QuarantineResult quarantine_net_run (const QuarantineCase *params);
 
 #endif
