--- a/core/include/core/members.h
+++ b/core/include/core/members.h
@@ -145,9 +145,9 @@
 /* Estimates the bytes that an update takes on the wire. */
 gsize members_update_size (const MemberUpdate *update);
 
-/* Notes the digest that the node `with` has sent. Returns TRUE when the caller should
-   compare views with it now. */
-gboolean members_compare_due (Members *members, const char *with, guint64 digest);
+/* Notes the digest that `node` has sent. Returns TRUE when the caller should compare
+   views with it now. */
+gboolean members_compare_due (Members *members, const char *node, guint64 digest);
 
 /* Digests of the live members of the view: of all, and by bucket. Equal views have equal
    digests. */
--- a/core/src/base/json-view.c
+++ b/core/src/base/json-view.c
@@ -16,7 +16,7 @@
   JsonNode *root; /* a reference if the view was parsed from a text, else NULL */
   JsonObject *object;
   char *path;
-  GHashTable *asked; /* keys that were read */
+  GHashTable *read_keys; /* a set */
   JsonFaults *faults;
 };
 
@@ -87,7 +87,7 @@
   view = g_new0 (JsonView, 1);
   view->object = json_object_ref (json_node_get_object (node));
   view->path = g_strdup (path);
-  view->asked = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  view->read_keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   view->faults = faults;
   return view;
 }
@@ -120,7 +120,7 @@
     return;
   json_object_iter_init (&iter, view->object);
   while (json_object_iter_next (&iter, &key, NULL))
-    if (!g_hash_table_contains (view->asked, key))
+    if (!g_hash_table_contains (view->read_keys, key))
       json_faults_add (view->faults, view->path, "unknown key \"%s\"", key);
   json_view_release (view);
 }
@@ -133,7 +133,7 @@
   json_object_unref (view->object);
   if (view->root)
     json_node_unref (view->root);
-  g_hash_table_unref (view->asked);
+  g_hash_table_unref (view->read_keys);
   g_free (view->path);
   g_free (view);
 }
@@ -152,11 +152,11 @@
 
 /* Returns a member and marks its key as read. A member that is null counts as missing. */
 static JsonNode *
-ask (JsonView *view, const char *key)
+read_member (JsonView *view, const char *key)
 {
   JsonNode *node;
 
-  g_hash_table_add (view->asked, g_strdup (key));
+  g_hash_table_add (view->read_keys, g_strdup (key));
   node = json_object_get_member (view->object, key);
   return node && JSON_NODE_HOLDS_NULL (node) ? NULL : node;
 }
@@ -164,7 +164,7 @@
 gboolean
 json_view_has (JsonView *view, const char *key)
 {
-  return ask (view, key) != NULL;
+  return read_member (view, key) != NULL;
 }
 
 static void
@@ -211,7 +211,7 @@
 const char *
 json_view_string (JsonView *view, const char *key, gsize max, const char *fallback)
 {
-  JsonNode *node = ask (view, key);
+  JsonNode *node = read_member (view, key);
   const char *text = node ? string_of (view, key, node, max) : NULL;
 
   return text ? text : fallback;
@@ -220,7 +220,7 @@
 const char *
 json_view_required (JsonView *view, const char *key, gsize max)
 {
-  JsonNode *node = ask (view, key);
+  JsonNode *node = read_member (view, key);
   const char *text;
 
   if (!node)
@@ -237,7 +237,7 @@
 const char *
 json_view_text (JsonView *view, const char *key)
 {
-  JsonNode *node = ask (view, key);
+  JsonNode *node = read_member (view, key);
 
   if (node && JSON_NODE_HOLDS_VALUE (node) &&
       json_node_get_value_type (node) == G_TYPE_STRING)
@@ -249,7 +249,7 @@
 gint64
 json_view_int (JsonView *view, const char *key, gint64 min, gint64 max, gint64 fallback)
 {
-  JsonNode *node = ask (view, key);
+  JsonNode *node = read_member (view, key);
   gint64 value;
 
   if (!node)
@@ -284,9 +284,9 @@
 /* Returns a member that is a number; NULL when it is missing, and with a fault when it is
    of another type. */
 static JsonNode *
-ask_number (JsonView *view, const char *key)
+read_number (JsonView *view, const char *key)
 {
-  JsonNode *node = ask (view, key);
+  JsonNode *node = read_member (view, key);
 
   if (!node || holds_number (node))
     return node;
@@ -298,7 +298,7 @@
 json_view_clamped_int (
     JsonView *view, const char *key, gint64 min, gint64 max, gint64 fallback)
 {
-  JsonNode *node = ask_number (view, key);
+  JsonNode *node = read_number (view, key);
   double value;
 
   if (!node)
@@ -316,7 +316,7 @@
 json_view_double (
     JsonView *view, const char *key, double min, double max, double fallback)
 {
-  JsonNode *node = ask_number (view, key);
+  JsonNode *node = read_number (view, key);
   g_autofree char *what = NULL;
   double value;
 
@@ -333,7 +333,7 @@
 gboolean
 json_view_bool (JsonView *view, const char *key, gboolean fallback)
 {
-  JsonNode *node = ask (view, key);
+  JsonNode *node = read_member (view, key);
 
   if (!node)
     return fallback;
@@ -351,7 +351,7 @@
                   const char *const *names,
                   guint fallback)
 {
-  JsonNode *node = ask (view, key);
+  JsonNode *node = read_member (view, key);
   g_autofree char *all = NULL;
   g_autofree char *what = NULL;
   const char *text;
@@ -373,7 +373,7 @@
 JsonView *
 json_view_object (JsonView *view, const char *key)
 {
-  JsonNode *node = ask (view, key);
+  JsonNode *node = read_member (view, key);
   g_autofree char *path = g_strdup_printf ("%s.%s", view->path, key);
 
   return node ? json_view_create (node, path, view->faults) : NULL;
@@ -382,7 +382,7 @@
 static JsonArray *
 array_of (JsonView *view, const char *key)
 {
-  JsonNode *node = ask (view, key);
+  JsonNode *node = read_member (view, key);
 
   if (!node)
     return NULL;
--- a/core/src/health/detector.c
+++ b/core/src/health/detector.c
@@ -169,7 +169,7 @@
 
 /* Returns how far the evidence exceeds its bounds, as a severity; 0 if it does not. */
 static guint
-weigh (Detector *detector)
+compute_severity (Detector *detector)
 {
   double failures = detector->evidence.failures / detector->bounds.failure_bound;
   double latency = detector->evidence.latency / detector->bounds.latency_bound;
@@ -272,7 +272,7 @@
   if (sample->broken && detector->policy->eject_on_break)
     detector->evidence.failures =
         MAX (detector->evidence.failures, detector->bounds.failure_bound);
-  severity = weigh (detector);
+  severity = compute_severity (detector);
   if (severity == 0 || !is_confirmed (detector))
     return TRUE;
   detector->severity = severity;
--- a/core/src/health/eject.c
+++ b/core/src/health/eject.c
@@ -4,7 +4,7 @@
 
 /* Returns the worst sick item that has not been considered yet, or NULL. */
 static EjectItem *
-worst (EjectItem *items, guint count, const gboolean *seen)
+next_worst (EjectItem *items, guint count, const gboolean *seen)
 {
   EjectItem *found = NULL;
 
@@ -34,7 +34,7 @@
       if (items[i].available)
         stay += items[i].slots;
     }
-  while ((item = worst (items, count, seen)))
+  while ((item = next_worst (items, count, seen)))
     {
       seen[item - items] = TRUE;
       if (stay < item->slots || stay - item->slots < MAX (floor_slots, 1))
--- a/core/src/member/absence.c
+++ b/core/src/member/absence.c
@@ -48,8 +48,8 @@
   return FALSE;
 }
 
-/* The weight of a live node for a missing one, for rendezvous hashing. The node with the
-   lowest weight is responsible. */
+/* Returns the weight of a live node for a missing one, for rendezvous hashing. The node
+   with the lowest weight is responsible. */
 static guint
 rendezvous_weight (const char *living, const char *missing)
 {
--- a/core/src/member/members-compare.c
+++ b/core/src/member/members-compare.c
@@ -47,21 +47,21 @@
 }
 
 gboolean
-members_compare_due (Members *members, const char *with, guint64 digest)
+members_compare_due (Members *members, const char *node, guint64 digest)
 {
-  const MemberRecord *record = members_table_find (members->table, with);
+  const MemberRecord *record = members_table_find (members->table, node);
   gboolean near = record && members_in_own_hall (members, &record->member);
   Comparison *comparison = &members->comparisons[near];
   gint64 now = clock_now (members->clock);
-  ComparePolicy pace = compare_policy (members, near);
+  ComparePolicy policy = compare_policy (members, near);
 
   if (digest == members_digest (members))
     {
       comparison->mismatches = 0;
       return FALSE;
     }
-  if (++comparison->mismatches < pace.mismatches ||
-      (comparison->at_us > 0 && now - comparison->at_us < pace.every_us))
+  if (++comparison->mismatches < policy.mismatches ||
+      (comparison->at_us > 0 && now - comparison->at_us < policy.every_us))
     return FALSE;
   comparison->mismatches = 0;
   comparison->at_us = now;
--- a/core/src/request/quarantine-list.c
+++ b/core/src/request/quarantine-list.c
@@ -120,12 +120,12 @@
 QuarantineEntry *
 quarantine_add_entry (Quarantine *quarantine, const QuarantineEntry *rank)
 {
-  QuarantineEntry fresh = { .request = rank->request, .service = rank->service };
+  QuarantineEntry entry = { .request = rank->request, .service = rank->service };
   guint remaining_sends = 0;
 
   if (!make_room (quarantine, rank))
     return NULL;
-  g_array_append_val (quarantine->entries, fresh);
+  g_array_append_val (quarantine->entries, entry);
   g_array_append_val (quarantine->remaining_sends, remaining_sends);
   return quarantine_entry_at (quarantine, quarantine->entries->len - 1);
 }
--- a/core/src/request/quarantine-updates.c
+++ b/core/src/request/quarantine-updates.c
@@ -1,6 +1,6 @@
 #include "quarantine-private.h"
 
-/* News with a greater age is rejected as implausible. */
+/* An update with a greater age is rejected as implausible. */
 #define AGE_MAX_US (QUARANTINE_RETENTION_US + QUARANTINE_PAUSE_MAX_US)
 
 static void
--- a/core/src/request/retry.c
+++ b/core/src/request/retry.c
@@ -60,7 +60,7 @@
 }
 
 static gint64
-present (const RetryBudget *budget)
+slice_number (const RetryBudget *budget)
 {
   return clock_now (budget->clock) / budget->slice_us;
 }
@@ -69,7 +69,7 @@
 static Slice *
 current_slice (RetryBudget *budget)
 {
-  gint64 number = present (budget);
+  gint64 number = slice_number (budget);
   Slice *slice = &budget->slices[number % (SLICES + 1)];
 
   if (slice->number != number)
@@ -88,7 +88,7 @@
 gboolean
 retry_budget_has (const RetryBudget *budget)
 {
-  gint64 now = present (budget);
+  gint64 now = slice_number (budget);
   guint64 allowed = budget->burst;
   guint64 spent = 0;
 
--- a/core/tests/test-absence.c
+++ b/core/tests/test-absence.c
@@ -77,7 +77,7 @@
 
   for (guint dead = 0; dead < NODES; dead++)
     {
-      g_autofree char *gone = g_strdup_printf ("n%u", dead);
+      g_autofree char *missing = g_strdup_printf ("n%u", dead);
       guint count = 0;
 
       for (guint self = 0; self < NODES; self++)
@@ -86,7 +86,7 @@
               self == dead ? NULL : members_seen_by (self, dead, rand, clock);
 
           if (members)
-            count += absences_is_responsible (members, gone);
+            count += absences_is_responsible (members, missing);
           members_destroy (members);
         }
       assert_int_equal (count, 1);
--- a/core/tests/test-balancer.c
+++ b/core/tests/test-balancer.c
@@ -77,7 +77,7 @@
 
 /* Returns how often target `i` is chosen in ROUNDS choices. */
 static guint
-share (Fixture *fixture, guint i, const GPtrArray *tried)
+count_choices (Fixture *fixture, guint i, const GPtrArray *tried)
 {
   g_autofree char *name = g_strdup_printf ("t%u", i);
   guint count = 0;
@@ -101,7 +101,7 @@
 
   for (guint i = 0; i < TARGETS; i++)
     report (&fixture, i, i == 0 ? 0 : 12, i == 0 ? 100 : 0, FALSE);
-  assert_int_equal (share (&fixture, 0, NULL), 0);
+  assert_int_equal (count_choices (&fixture, 0, NULL), 0);
   teardown (&fixture);
 }
 
@@ -112,10 +112,10 @@
 
   for (guint i = 0; i < TARGETS; i++)
     report (&fixture, i, i == 0 ? 0 : 12, i == 0 ? 100 : 0, TRUE);
-  assert_int_equal (share (&fixture, 0, NULL), ROUNDS);
+  assert_int_equal (count_choices (&fixture, 0, NULL), ROUNDS);
   for (guint i = 1; i < TARGETS; i++)
     report (&fixture, i, 0, 0, FALSE);
-  assert_int_equal (share (&fixture, 0, NULL), 0);
+  assert_int_equal (count_choices (&fixture, 0, NULL), 0);
   teardown (&fixture);
 }
 
@@ -131,7 +131,7 @@
   g_ptr_array_add (tried, "t1");
   g_ptr_array_add (tried, "t2");
   g_ptr_array_add (tried, "t3");
-  assert_int_equal (share (&fixture, 0, tried), 0);
+  assert_int_equal (count_choices (&fixture, 0, tried), 0);
   teardown (&fixture);
 }
 
@@ -156,11 +156,11 @@
   Fixture fixture = setup ();
 
   balancer_set_path (fixture.balancer, "v2", FALSE);
-  assert_int_equal (share (&fixture, 2, NULL), 0);
+  assert_int_equal (count_choices (&fixture, 2, NULL), 0);
   clock_advance (fixture.clock, 60 * SECOND_US);
-  assert_int_equal (share (&fixture, 2, NULL), 0);
+  assert_int_equal (count_choices (&fixture, 2, NULL), 0);
   balancer_set_path (fixture.balancer, "v2", TRUE);
-  assert_true (share (&fixture, 2, NULL) > 0);
+  assert_true (count_choices (&fixture, 2, NULL) > 0);
   teardown (&fixture);
 }
 
@@ -269,11 +269,12 @@
   assert_null (balancer_choose (fixture.balancer, fixture.service, &only).target);
   shed (&fixture, 0);
   shed (&fixture, 1);
-  assert_int_equal (share (&fixture, 0, NULL) + share (&fixture, 1, NULL), 0);
+  assert_int_equal (count_choices (&fixture, 0, NULL) + count_choices (&fixture, 1, NULL),
+                    0);
   g_ptr_array_add (tried, "t2");
   g_ptr_array_add (tried, "t3");
   assert_null (balancer_choose (fixture.balancer, fixture.service, &never).target);
-  assert_true (share (&fixture, 0, tried) > 0);
+  assert_true (count_choices (&fixture, 0, tried) > 0);
   assert_non_null (balancer_choose (fixture.balancer, fixture.service, &only).target);
   teardown (&fixture);
 }
@@ -285,19 +286,19 @@
   g_autoptr (GPtrArray) tried = g_ptr_array_new ();
 
   balancer_doubt_path (fixture.balancer, "v0");
-  assert_int_equal (share (&fixture, 0, NULL), 0);
+  assert_int_equal (count_choices (&fixture, 0, NULL), 0);
   g_ptr_array_add (tried, "t1");
   g_ptr_array_add (tried, "t2");
   g_ptr_array_add (tried, "t3");
-  assert_int_equal (share (&fixture, 0, tried), ROUNDS);
+  assert_int_equal (count_choices (&fixture, 0, tried), ROUNDS);
   balancer_note_path (fixture.balancer, "v0", TRUE);
-  assert_true (share (&fixture, 0, NULL) > 0);
+  assert_true (count_choices (&fixture, 0, NULL) > 0);
   /* Doubt expires after a second: the request that pinged the node may be gone before the
      answer arrives. */
   balancer_doubt_path (fixture.balancer, "v0");
-  assert_int_equal (share (&fixture, 0, NULL), 0);
+  assert_int_equal (count_choices (&fixture, 0, NULL), 0);
   clock_advance (fixture.clock, SECOND_US);
-  assert_true (share (&fixture, 0, NULL) > 0);
+  assert_true (count_choices (&fixture, 0, NULL) > 0);
   teardown (&fixture);
 }
 
--- a/core/tests/test-fence.c
+++ b/core/tests/test-fence.c
@@ -51,7 +51,7 @@
   guint executions;
   /* The state of the ingress. */
   DispatchStep step;
-  gboolean over;
+  gboolean ended;
   guint at;
   guint64 counter;
   guint64 incarnation;
@@ -213,7 +213,7 @@
                              world->reading_us, 0 });
       break;
     case DISPATCH_ANSWER:
-      world->over = TRUE;
+      world->ended = TRUE;
       break;
     default:
       break;
@@ -223,9 +223,9 @@
 /* Gives an answer to the ingress, which ignores it unless it is about the latest attempt
    and answers the current step. */
 static void
-hear (World *world, const Packet *packet)
+receive (World *world, const Packet *packet)
 {
-  if (world->over || packet->counter != world->counter)
+  if (world->ended || packet->counter != world->counter)
     return;
   if (packet->kind == KIND_SENT && world->step.kind == DISPATCH_SEND)
     take_step (world,
@@ -259,7 +259,7 @@
       handle_fence (world, &packet);
       break;
     default:
-      hear (world, &packet);
+      receive (world, &packet);
       break;
     }
 }
@@ -281,7 +281,7 @@
 static void
 time_out (World *world)
 {
-  if (world->over || clock_now (world->clock) < world->due_us)
+  if (world->ended || clock_now (world->clock) < world->due_us)
     return;
   if (world->step.kind == DISPATCH_SEND)
     take_step (world, dispatch_sent (world->dispatch, DISPATCH_LOST, REASON_LOST, 0));
@@ -296,9 +296,9 @@
 {
   if (world->executions > 1)
     fail_msg ("schedule %u: the request ran %u times", seed, world->executions);
-  if (world->over && world->step.outcome == OUTCOME_NOT_RUN && world->executions > 0)
+  if (world->ended && world->step.outcome == OUTCOME_NOT_RUN && world->executions > 0)
     fail_msg ("schedule %u: 'not run' was reported, but the request ran", seed);
-  if (world->over && world->step.outcome == OUTCOME_DONE && world->executions != 1)
+  if (world->ended && world->step.outcome == OUTCOME_DONE && world->executions != 1)
     fail_msg ("schedule %u: 'done' was reported, but the request did not run", seed);
 }
 
@@ -335,7 +335,7 @@
       time_out (&world);
       check (&world, seed);
     }
-  outcome = world.over ? world.step.outcome : OUTCOME_UNKNOWN;
+  outcome = world.ended ? world.step.outcome : OUTCOME_UNKNOWN;
   for (guint i = 0; i < SIDECARS; i++)
     {
       fence_destroy (world.sidecars[i].fence);
--- a/core/tests/test-fingerprint.c
+++ b/core/tests/test-fingerprint.c
@@ -13,7 +13,7 @@
 };
 
 static Fingerprint
-of (const char *secret, const FingerprintInput *words)
+fingerprint_of (const char *secret, const FingerprintInput *words)
 {
   FingerprintKey *key = fingerprint_key_create (secret);
   Fingerprints prints = fingerprint_all (key, words);
@@ -25,8 +25,8 @@
 static void
 assert_different (const FingerprintInput *words)
 {
-  Fingerprint a = of ("secret", &plain);
-  Fingerprint b = of ("secret", words);
+  Fingerprint a = fingerprint_of ("secret", &plain);
+  Fingerprint b = fingerprint_of ("secret", words);
 
   assert_false (fingerprint_equal (&a, &b));
 }
@@ -34,8 +34,8 @@
 static void
 test_equal_requests_have_equal_fingerprints (void **state)
 {
-  Fingerprint a = of ("secret", &plain);
-  Fingerprint b = of ("secret", &plain);
+  Fingerprint a = fingerprint_of ("secret", &plain);
+  Fingerprint b = fingerprint_of ("secret", &plain);
 
   assert_true (fingerprint_equal (&a, &b));
 }
@@ -74,8 +74,8 @@
 {
   FingerprintInput one = { .service = "a", .account = "bc" };
   FingerprintInput two = { .service = "ab", .account = "c" };
-  Fingerprint a = of ("secret", &one);
-  Fingerprint b = of ("secret", &two);
+  Fingerprint a = fingerprint_of ("secret", &one);
+  Fingerprint b = fingerprint_of ("secret", &two);
 
   assert_false (fingerprint_equal (&a, &b));
 }
@@ -85,8 +85,8 @@
 static void
 test_another_secret_gives_another_fingerprint (void **state)
 {
-  Fingerprint a = of ("secret", &plain);
-  Fingerprint b = of ("other", &plain);
+  Fingerprint a = fingerprint_of ("secret", &plain);
+  Fingerprint b = fingerprint_of ("other", &plain);
 
   assert_false (fingerprint_equal (&a, &b));
   assert_int_not_equal (a.body, b.body);
@@ -98,11 +98,11 @@
 test_the_head_leaves_the_body_out (void **state)
 {
   FingerprintInput words = plain;
-  Fingerprint a = of ("secret", &plain);
+  Fingerprint a = fingerprint_of ("secret", &plain);
   Fingerprint b;
 
   words.body = "ydob";
-  b = of ("secret", &words);
+  b = fingerprint_of ("secret", &words);
   assert_int_equal (a.head, b.head);
   assert_int_not_equal (a.body, b.body);
 }
--- a/core/tests/test-latency.c
+++ b/core/tests/test-latency.c
@@ -14,7 +14,7 @@
 
 /* Draws a log-normal sample; the sum of twelve uniform ones approximates a normal one. */
 static gint64
-draw (GRand *rand, double median_us, double sd)
+draw_sample (GRand *rand, double median_us, double sd)
 {
   double sum = -6;
 
@@ -24,13 +24,13 @@
 }
 
 static LatencyStats *
-filled (double median_us, double sd, guint count)
+create_filled (double median_us, double sd, guint count)
 {
   LatencyStats *stats = latency_stats_create ();
   GRand *rand = g_rand_new_with_seed (5);
 
   for (guint i = 0; i < count; i++)
-    latency_stats_add (stats, ROUTE, draw (rand, median_us, sd));
+    latency_stats_add (stats, ROUTE, draw_sample (rand, median_us, sd));
   g_rand_free (rand);
   return stats;
 }
@@ -38,7 +38,7 @@
 static void
 test_a_fit_follows_its_samples (void **state)
 {
-  LatencyStats *stats = filled (MEDIAN_US, 0.5, 400);
+  LatencyStats *stats = create_filled (MEDIAN_US, 0.5, 400);
   LatencyFit fit = latency_stats_fit (stats, ROUTE);
 
   assert_true (fabs (fit.log_mean - log (MEDIAN_US)) < 0.2);
@@ -50,7 +50,7 @@
 static void
 test_an_unknown_fit_makes_no_statement (void **state)
 {
-  LatencyStats *stats = filled (MEDIAN_US, 0.5, 4);
+  LatencyStats *stats = create_filled (MEDIAN_US, 0.5, 4);
   LatencyFit few = latency_stats_fit (stats, ROUTE);
   LatencyFit none = latency_stats_fit (stats, ROUTE + 1);
 
@@ -69,7 +69,7 @@
 
   for (guint i = 0; i < G_N_ELEMENTS (medians_us); i++)
     {
-      LatencyStats *stats = filled (medians_us[i], 0.5, 400);
+      LatencyStats *stats = create_filled (medians_us[i], 0.5, 400);
       LatencyFit fit = latency_stats_fit (stats, ROUTE);
       double half = latency_fit_log_survival (&fit, (gint64)medians_us[i]);
       double five = latency_fit_log_survival (&fit, (gint64)(5 * medians_us[i]));
--- a/core/tests/test-proof.c
+++ b/core/tests/test-proof.c
@@ -92,7 +92,7 @@
 
 /* Returns how many unrepeatable requests are broken off. */
 static guint
-lost (gboolean with_proof)
+count_broken_requests (gboolean with_proof)
 {
   SimulatedTarget targets[TARGETS] = { 0 };
   GRand *rand = g_rand_new_with_seed (7);
@@ -124,8 +124,8 @@
 static void
 test_spells_cost_half_as_many_unrepeatable_requests (void **state)
 {
-  guint without = lost (FALSE);
-  guint with = lost (TRUE);
+  guint without = count_broken_requests (FALSE);
+  guint with = count_broken_requests (TRUE);
 
   print_message ("requests broken off: %u without proofs, %u with them\n", without, with);
   assert_true (without > 200);
--- a/core/tests/test-retry.c
+++ b/core/tests/test-retry.c
@@ -41,7 +41,7 @@
 }
 
 static void
-ask (Fleet *fleet, Holder *holder, RetryKind kind)
+try_attempt (Fleet *fleet, Holder *holder, RetryKind kind)
 {
   gint64 now = clock_now (fleet->clock);
   gboolean burst = holder->first_incarnation || now - holder->began_us >= WINDOW_US;
@@ -110,10 +110,11 @@
       /* Failures come in bursts. */
       else if (event < 20)
         for (guint i = 0; i < 40; i++)
-          ask (&fleet, &fleet.holders[g_rand_int_range (fleet.rand, 0, HOLDERS)],
-               RETRY_FURTHER_ATTEMPT);
+          try_attempt (&fleet, &fleet.holders[g_rand_int_range (fleet.rand, 0, HOLDERS)],
+                       RETRY_FURTHER_ATTEMPT);
       else
-        ask (&fleet, holder, event < 700 ? RETRY_FIRST_ATTEMPT : RETRY_FURTHER_ATTEMPT);
+        try_attempt (&fleet, holder,
+                     event < 700 ? RETRY_FIRST_ATTEMPT : RETRY_FURTHER_ATTEMPT);
       clock_advance (fleet.clock, SECOND_US / 10 / rate);
     }
   check (&fleet, seed);
@@ -143,10 +144,10 @@
   fleet.retries = g_array_new (FALSE, FALSE, sizeof (gint64));
   start (&fleet, holder, TRUE);
   for (guint i = 0; i < 2 * BURST; i++)
-    ask (&fleet, holder, RETRY_FURTHER_ATTEMPT);
+    try_attempt (&fleet, holder, RETRY_FURTHER_ATTEMPT);
   assert_int_equal (fleet.retries->len, BURST / HOLDERS);
   start (&fleet, holder, FALSE);
-  ask (&fleet, holder, RETRY_FURTHER_ATTEMPT);
+  try_attempt (&fleet, holder, RETRY_FURTHER_ATTEMPT);
   assert_int_equal (fleet.retries->len, BURST / HOLDERS);
   retry_budget_destroy (holder->budget);
   g_array_unref (fleet.first_attempts);
--- a/core/tests/test-settings.c
+++ b/core/tests/test-settings.c
@@ -150,7 +150,7 @@
   static const struct
   {
     const char *defaults;
-    const char *said;
+    const char *text;
   } cases[] = {
     { "\"retry_burst\":-1", "$.service_defaults.retry_burst: must be from 0 to "
                             "2.14748e+09, not -1" },
@@ -165,7 +165,7 @@
       JsonFaults *faults = json_faults_create ();
 
       assert_null (parse (cases[i].defaults, "", faults));
-      assert_string_equal (json_faults_get (faults, 0), cases[i].said);
+      assert_string_equal (json_faults_get (faults, 0), cases[i].text);
       json_faults_destroy (faults);
     }
 }
--- a/core/tests/test-warmup.c
+++ b/core/tests/test-warmup.c
@@ -19,7 +19,7 @@
 } Fixture;
 
 static Fixture
-begin (void)
+setup (void)
 {
   Fixture fixture = { clock_create_manual (1000 * SECOND_US), NULL };
 
@@ -29,7 +29,7 @@
 }
 
 static void
-end (Fixture *fixture)
+teardown (Fixture *fixture)
 {
   warmup_destroy (fixture->warmup);
   clock_destroy (fixture->clock);
@@ -65,19 +65,19 @@
 static void
 test_a_cold_target_gets_a_bounded_rate (void **state)
 {
-  Fixture fixture = begin ();
+  Fixture fixture = setup ();
   guint most;
 
   warmup_note_report (fixture.warmup, 60 * SECOND_US);
   most = max_starts_in_a_second (&fixture, 10 * SECOND_US);
   assert_in_range (most, (guint)PER_S, COLD_STARTS_MAX_PER_S);
-  end (&fixture);
+  teardown (&fixture);
 }
 
 static void
 test_a_silent_target_counts_as_cold (void **state)
 {
-  Fixture fixture = begin ();
+  Fixture fixture = setup ();
 
   assert_true (warmup_is_limiting (fixture.warmup));
   assert_in_range (max_starts_in_a_second (&fixture, 3 * SECOND_US), 1,
@@ -87,7 +87,7 @@
   assert_true (warmup_allows (fixture.warmup));
   warmup_assume_cold (fixture.warmup);
   assert_true (warmup_is_limiting (fixture.warmup));
-  end (&fixture);
+  teardown (&fixture);
 }
 
 /* Starts just before the target turned cold count too, because the bound holds for any
@@ -95,7 +95,7 @@
 static void
 test_starts_before_turning_cold_count (void **state)
 {
-  Fixture fixture = begin ();
+  Fixture fixture = setup ();
 
   warmup_note_report (fixture.warmup, 0);
   for (guint i = 0; i < 100; i++)
@@ -106,26 +106,26 @@
   assert_false (warmup_allows (fixture.warmup));
   clock_advance (fixture.clock, SECOND_US);
   assert_true (warmup_allows (fixture.warmup));
-  end (&fixture);
+  teardown (&fixture);
 }
 
 static void
 test_a_target_is_warm_after_its_cold_time (void **state)
 {
-  Fixture fixture = begin ();
+  Fixture fixture = setup ();
 
   warmup_note_report (fixture.warmup, 2 * SECOND_US);
   clock_advance (fixture.clock, 2 * SECOND_US - 1);
   assert_true (warmup_is_limiting (fixture.warmup));
   clock_advance (fixture.clock, 1);
   assert_false (warmup_is_limiting (fixture.warmup));
-  end (&fixture);
+  teardown (&fixture);
 }
 
 static void
 test_without_a_rate_nothing_is_bounded (void **state)
 {
-  Fixture fixture = begin ();
+  Fixture fixture = setup ();
 
   warmup_set_rate (fixture.warmup, 0, 0);
   assert_false (warmup_is_limiting (fixture.warmup));
@@ -134,7 +134,7 @@
       assert_true (warmup_allows (fixture.warmup));
       warmup_count_start (fixture.warmup);
     }
-  end (&fixture);
+  teardown (&fixture);
 }
 
 /* The bound holds for every way to a slot: offers, slots reserved before the request
@@ -143,7 +143,7 @@
 static void
 test_admission_bounds_starts_of_a_cold_target (void **state)
 {
-  Fixture fixture = begin ();
+  Fixture fixture = setup ();
   Admission *admission = admission_create (50, 100, fixture.clock);
   AdmissionParams order = { .deadline_us = clock_now (fixture.clock) + 60 * SECOND_US };
   guint started = 0;
@@ -181,13 +181,13 @@
     }
   assert_in_range (started, (guint)PER_S, COLD_STARTS_MAX_PER_S);
   admission_destroy (admission);
-  end (&fixture);
+  teardown (&fixture);
 }
 
 static void
 test_a_cold_target_says_when_to_retry (void **state)
 {
-  Fixture fixture = begin ();
+  Fixture fixture = setup ();
   Admission *admission = admission_create (50, 100, fixture.clock);
 
   admission_set_warmup (admission, fixture.warmup);
@@ -195,7 +195,7 @@
     ;
   assert_in_range (admission_retry_after_us (admission), 50 * MS_US, SECOND_US);
   admission_destroy (admission);
-  end (&fixture);
+  teardown (&fixture);
 }
 
 int
