--- a/bench/src/overload.c
+++ b/bench/src/overload.c
@@ -38,8 +38,8 @@
   guint priority;
   guint attempts;
   guint target;
-  guint tried;   /* bit mask of targets */
-  gboolean over; /* the caller has its answer; a target may still be running it */
+  guint tried;       /* bit mask of targets */
+  gboolean answered; /* the caller has its answer; a target may still be running it */
   guint refs;
 };
 
@@ -107,7 +107,7 @@
 }
 
 static gboolean
-counts (const Request *request)
+is_measured (const Request *request)
 {
   return request->began_us >= SETTLE_US;
 }
@@ -117,10 +117,10 @@
 {
   gint64 now = clock_now (sim->clock);
 
-  if (request->over)
+  if (request->answered)
     return;
-  request->over = TRUE;
-  if (!counts (request))
+  request->answered = TRUE;
+  if (!is_measured (request))
     return;
   if (good && now <= request->deadline_us)
     sim->good[request->priority]++;
@@ -134,7 +134,7 @@
 static void
 start (Sim *sim, Request *request, guint target)
 {
-  if (counts (request))
+  if (is_measured (request))
     sim->attempts++;
   schedule (sim, (gint64)(SERVICE_US * g_rand_double_range (sim->rand, 0.8, 1.2)),
             EVENT_SERVED, request, target);
@@ -240,7 +240,7 @@
 
   detector_observe (target->detector, &sample);
   admission_release (target->admission, target->sick ? -1 : SERVICE_US);
-  if (!request->over)
+  if (!request->answered)
     perform_step (sim, request,
                   dispatch_sent (request->dispatch,
                                  target->sick ? DISPATCH_FAILED : DISPATCH_DONE,
@@ -258,7 +258,7 @@
 {
   SimTarget *target;
 
-  if (request->over || request->attempts >= ATTEMPTS_MAX)
+  if (request->answered || request->attempts >= ATTEMPTS_MAX)
     {
       answer (sim, request, FALSE);
       return;
@@ -310,7 +310,7 @@
   request->deadline_us = request->began_us + DEADLINE_US;
   request->priority = (guint)g_rand_int_range (sim->rand, 0, OVERLOAD_PRIORITIES);
   request->target = (guint)g_rand_int_range (sim->rand, 0, TARGETS);
-  if (counts (request))
+  if (is_measured (request))
     sim->asked[request->priority]++;
   if (clock_now (sim->clock) + gap < LENGTH_US)
     schedule (sim, gap, EVENT_ARRIVAL, NULL, 0);
@@ -339,7 +339,7 @@
         served_unguarded (sim, event->request, event->target);
       break;
     case EVENT_RESUME:
-      if (!event->request->over)
+      if (!event->request->answered)
         perform_step (sim, event->request, dispatch_resume (event->request->dispatch));
       break;
     default:
--- a/bench/src/traces.c
+++ b/bench/src/traces.c
@@ -137,12 +137,12 @@
 note (Sim *sim, guint i, gboolean sick)
 {
   SimTarget *target = &sim->targets[i];
-  gboolean truly = i == 0 && trace_has_fault (sim->kind) &&
-                   clock_now (sim->clock) >= sim->shape->fault_us;
+  gboolean fault_began = i == 0 && trace_has_fault (sim->kind) &&
+                         clock_now (sim->clock) >= sim->shape->fault_us;
 
   if (sick && !target->sick)
     {
-      if (!truly)
+      if (!fault_began)
         sim->result.false_ejections++;
       else if (sim->result.detected_us < 0)
         sim->result.detected_us = clock_now (sim->clock) - sim->shape->fault_us;
@@ -178,9 +178,9 @@
 probe (Sim *sim, guint i)
 {
   SimTarget *target = &sim->targets[i];
-  gboolean bad = i == 0 && in_fault (sim) && sim->kind == TRACE_FALSE_PROBES;
+  gboolean probe_fails = i == 0 && in_fault (sim) && sim->kind == TRACE_FALSE_PROBES;
 
-  target->bad_probes = bad ? target->bad_probes + 1 : 0;
+  target->bad_probes = probe_fails ? target->bad_probes + 1 : 0;
   note (sim, i, target->bad_probes >= PROBES_TO_EJECT);
 }
 
