--- a/io/src/connect-check.c
+++ b/io/src/connect-check.c
@@ -26,7 +26,7 @@
 }
 
 static void
-decide (ConnectCheck *check, ConnectAnswer answer)
+finish (ConnectCheck *check, ConnectAnswer answer)
 {
   close_socket (check);
   loop_timer_stop (check->timer);
@@ -39,14 +39,14 @@
   switch (socket_error (fd))
     {
     case 0:
-      decide (data, CONNECT_ACCEPTED);
+      finish (data, CONNECT_ACCEPTED);
       break;
     case ECONNREFUSED:
     case ECONNRESET:
-      decide (data, CONNECT_REFUSED);
+      finish (data, CONNECT_REFUSED);
       break;
     default:
-      decide (data, CONNECT_UNKNOWN);
+      finish (data, CONNECT_UNKNOWN);
       break;
     }
 }
@@ -57,7 +57,7 @@
 {
   ConnectCheck *check = data;
 
-  decide (check, check->refused ? CONNECT_REFUSED : CONNECT_UNKNOWN);
+  finish (check, check->refused ? CONNECT_REFUSED : CONNECT_UNKNOWN);
 }
 
 ConnectCheck *
--- a/io/tests/test-loop.c
+++ b/io/tests/test-loop.c
@@ -99,7 +99,7 @@
   Fixture base;
   gint64 cpu_us;
   gint64 took_us;
-  guint told;
+  guint reported;
   LoopIteration turn;
 } Turns;
 
@@ -108,7 +108,7 @@
 {
   Turns *turns = data;
 
-  turns->told++;
+  turns->reported++;
   turns->turn = *turn;
 }
 
@@ -156,11 +156,11 @@
   Turns busy = run_iterations (LOOP_ITERATION_LONG_CPU_US, 0);
   Turns held = run_iterations (0, LOOP_ITERATION_LONG_US);
 
-  assert_int_equal (calm.told, 0);
-  assert_int_equal (busy.told, 1);
+  assert_int_equal (calm.reported, 0);
+  assert_int_equal (busy.reported, 1);
   assert_true (busy.turn.cpu_us >= LOOP_ITERATION_LONG_CPU_US);
   assert_true (busy.turn.took_us < LOOP_ITERATION_LONG_US);
-  assert_int_equal (held.told, 1);
+  assert_int_equal (held.reported, 1);
   assert_true (held.turn.cpu_us < LOOP_ITERATION_LONG_CPU_US);
   assert_true (held.turn.took_us >= LOOP_ITERATION_LONG_US);
 }
--- a/io/tests/test-slow-readers.c
+++ b/io/tests/test-slow-readers.c
@@ -57,7 +57,7 @@
 }
 
 static int
-ask (void)
+send_request (void)
 {
   static const char request[] = "GET /large HTTP/1.1\r\nHost: a\r\n\r\n";
   struct sockaddr_in to;
@@ -109,7 +109,7 @@
   int fds[READERS];
 
   for (guint i = 0; i < READERS; i++)
-    fds[i] = ask ();
+    fds[i] = send_request ();
   g_usleep (STALLS_CLOSED_US);
   for (guint i = 0; i < READERS; i++)
     {
@@ -118,7 +118,7 @@
       seen->refused += refused;
       close (fds[i]);
     }
-  fds[0] = ask ();
+  fds[0] = send_request ();
   seen->last = read_all (fds[0], &refused);
   close (fds[0]);
   g_atomic_int_set (&fixture->thread_ended, TRUE);
@@ -126,7 +126,7 @@
 }
 
 static gint64
-look (gpointer data)
+quit_if_ended (gpointer data)
 {
   Fixture *fixture = data;
 
@@ -151,7 +151,7 @@
   assert_non_null (fixture.server);
   http_server_set_stall_func (fixture.server, on_stall, &fixture);
   http_server_set_full_func (fixture.server, on_full, &fixture);
-  loop_add_prepare (fixture.loop, look, &fixture);
+  loop_add_prepare (fixture.loop, quit_if_ended, &fixture);
   thread = g_thread_new ("callers", callers, &fixture);
   loop_run (fixture.loop);
   seen = g_thread_join (thread);
