--- a/daemon/src/account/allowances.c
+++ b/daemon/src/account/allowances.c
@@ -238,7 +238,7 @@
 }
 
 static void
-ask (Queue *queue, const char *lender)
+request_lease (Queue *queue, const char *lender)
 {
   Node *node = queue->allowances->node;
   sw_allow_args args = { 0 };
@@ -279,7 +279,7 @@
   place = allowance_cache_pick_lender (allowances->cache, queue->account, lenders, count,
                                        &wait_us);
   if (place >= 0)
-    ask (queue, lenders[place]);
+    request_lease (queue, lenders[place]);
   else
     give_up (queue, wait_us);
 }
--- a/daemon/src/member/gossip.c
+++ b/daemon/src/member/gossip.c
@@ -207,7 +207,7 @@
   Node *node = gossip->node;
   g_autoptr (GPtrArray) all = g_ptr_array_copy (members_all (node->members), NULL, NULL);
   g_autoptr (GHashTable) halls = g_hash_table_new (g_str_hash, g_str_equal);
-  GPtrArray *some = g_ptr_array_new ();
+  GPtrArray *picked = g_ptr_array_new ();
 
   while (all->len > 0 && (near > 0 || far > 0))
     {
@@ -221,19 +221,19 @@
           (!own && !g_hash_table_add (halls, (char *)member->hall)))
         continue;
       (*left)--;
-      g_ptr_array_add (some, (gpointer)member);
+      g_ptr_array_add (picked, (gpointer)member);
     }
-  return some;
+  return picked;
 }
 
 static void
 send_updates (Gossip *gossip, guint near, guint far)
 {
-  g_autoptr (GPtrArray) some = pick_members (gossip, near, far);
+  g_autoptr (GPtrArray) picked = pick_members (gossip, near, far);
 
-  for (guint i = 0; i < some->len; i++)
+  for (guint i = 0; i < picked->len; i++)
     {
-      const Member *member = g_ptr_array_index (some, i);
+      const Member *member = g_ptr_array_index (picked, i);
 
       gossip_send_call (gossip, member->address, member->node, SW_UPDATES, NULL,
                         RELAY_SEQUENCE_BIT | ++gossip->relay_sequence);
@@ -321,20 +321,20 @@
 probe_random_nodes (Gossip *gossip, const GArray *found, gboolean own_hall, guint count)
 {
   const char *hall = gossip->node->settings->hall;
-  g_autoptr (GPtrArray) some = g_ptr_array_new ();
+  g_autoptr (GPtrArray) picked = g_ptr_array_new ();
 
   for (guint i = 0; i < found->len; i++)
     {
       const GossipAddress *item = &g_array_index (found, GossipAddress, i);
 
       if ((strcmp (item->hall, hall) == 0) == own_hall)
-        g_ptr_array_add (some, item->address);
+        g_ptr_array_add (picked, item->address);
     }
-  for (; count > 0 && some->len > 0; count--)
+  for (; count > 0 && picked->len > 0; count--)
     {
-      guint i = (guint)g_rand_int_range (gossip->node->rand, 0, (gint32)some->len);
+      guint i = (guint)g_rand_int_range (gossip->node->rand, 0, (gint32)picked->len);
 
-      gossip_send_call (gossip, g_ptr_array_steal_index_fast (some, i), NULL, SW_PROBE,
+      gossip_send_call (gossip, g_ptr_array_steal_index_fast (picked, i), NULL, SW_PROBE,
                         NULL, RELAY_SEQUENCE_BIT | ++gossip->relay_sequence);
     }
 }
