--- a/bench/src/overload.c
+++ b/bench/src/overload.c
@@ -38,8 +38,8 @@
   guint priority;
   guint attempts;
   guint target;
-  guint tried;   /* bit mask of targets */
-  gboolean over; /* the caller has its answer; a target may still be running it */
+  guint tried;       /* bit mask of targets */
+  gboolean answered; /* the caller has its answer; a target may still be running it */
   guint refs;
 };
 
@@ -61,7 +61,7 @@
 
 typedef struct
 {
-  const OverloadCase *what;
+  const OverloadCase *params;
   Clock *clock;
   GRand *rand;
   GSequence *events;
@@ -107,7 +107,7 @@
 }
 
 static gboolean
-counts (const Request *request)
+is_measured (const Request *request)
 {
   return request->began_us >= SETTLE_US;
 }
@@ -117,10 +117,10 @@
 {
   gint64 now = clock_now (sim->clock);
 
-  if (request->over)
+  if (request->answered)
     return;
-  request->over = TRUE;
-  if (!counts (request))
+  request->answered = TRUE;
+  if (!is_measured (request))
     return;
   if (good && now <= request->deadline_us)
     sim->good[request->priority]++;
@@ -134,7 +134,7 @@
 static void
 start (Sim *sim, Request *request, guint target)
 {
-  if (counts (request))
+  if (is_measured (request))
     sim->attempts++;
   schedule (sim, (gint64)(SERVICE_US * g_rand_double_range (sim->rand, 0.8, 1.2)),
             EVENT_SERVED, request, target);
@@ -240,7 +240,7 @@
 
   detector_observe (target->detector, &sample);
   admission_release (target->admission, target->sick ? -1 : SERVICE_US);
-  if (!request->over)
+  if (!request->answered)
     perform_step (sim, request,
                   dispatch_sent (request->dispatch,
                                  target->sick ? DISPATCH_FAILED : DISPATCH_DONE,
@@ -258,7 +258,7 @@
 {
   SimTarget *target;
 
-  if (request->over || request->attempts >= ATTEMPTS_MAX)
+  if (request->answered || request->attempts >= ATTEMPTS_MAX)
     {
       answer (sim, request, FALSE);
       return;
@@ -302,7 +302,7 @@
   DispatchPolicy policy = { .repeatable = TRUE,
                             .slack_us = SECOND_US / 2,
                             .attempts_max = ATTEMPTS_MAX };
-  gint64 gap = (gint64)((double)SECOND_US / (sim->what->load * CAPACITY_PER_SECOND) *
+  gint64 gap = (gint64)((double)SECOND_US / (sim->params->load * CAPACITY_PER_SECOND) *
                         g_rand_double_range (sim->rand, 0, 2));
 
   request->refs = 1;
@@ -310,14 +310,14 @@
   request->deadline_us = request->began_us + DEADLINE_US;
   request->priority = (guint)g_rand_int_range (sim->rand, 0, OVERLOAD_PRIORITIES);
   request->target = (guint)g_rand_int_range (sim->rand, 0, TARGETS);
-  if (counts (request))
+  if (is_measured (request))
     sim->asked[request->priority]++;
   if (clock_now (sim->clock) + gap < LENGTH_US)
     schedule (sim, gap, EVENT_ARRIVAL, NULL, 0);
   schedule (sim, DEADLINE_US, EVENT_DEADLINE, request, 0);
   policy.deadline_us = request->deadline_us;
   request->dispatch = dispatch_create (&policy, sim->rand, sim->clock);
-  if (sim->what->guarded)
+  if (sim->params->guarded)
     perform_step (sim, request, dispatch_begin (request->dispatch));
   else
     send_unguarded (sim, request);
@@ -333,13 +333,13 @@
       arrive (sim);
       break;
     case EVENT_SERVED:
-      if (sim->what->guarded)
+      if (sim->params->guarded)
         served_guarded (sim, event->request, event->target);
       else
         served_unguarded (sim, event->request, event->target);
       break;
     case EVENT_RESUME:
-      if (!event->request->over)
+      if (!event->request->answered)
         perform_step (sim, event->request, dispatch_resume (event->request->dispatch));
       break;
     default:
@@ -367,9 +367,9 @@
 }
 
 OverloadResult
-overload_run (const OverloadCase *what, guint seed)
+overload_run (const OverloadCase *params, guint seed)
 {
-  Sim sim = { .what = what,
+  Sim sim = { .params = params,
               .clock = clock_create_manual (0),
               .rand = g_rand_new_with_seed (seed),
               .events = g_sequence_new (NULL) };
@@ -382,8 +382,8 @@
     {
       sim.targets[i].admission = admission_create (SLOTS, QUEUE, sim.clock);
       sim.targets[i].detector = detector_create (
-          what->no_detection ? DETECTION_OFF : DETECTION_QUICK, sim.clock);
-      sim.targets[i].sick = what->sick && i < TARGETS / 2;
+          params->no_detection ? DETECTION_OFF : DETECTION_QUICK, sim.clock);
+      sim.targets[i].sick = params->sick && i < TARGETS / 2;
     }
   run (&sim);
   for (guint i = 0; i < OVERLOAD_PRIORITIES; i++)
--- a/core/tests/test-fence.c
+++ b/core/tests/test-fence.c
@@ -51,7 +51,7 @@
   guint executions;
   /* The state of the ingress. */
   DispatchStep step;
-  gboolean over;
+  gboolean ended;
   guint at;
   guint64 counter;
   guint64 incarnation;
@@ -208,12 +208,12 @@
       post (world, (Packet){ KIND_SUBMIT, world->at, world->counter, world->incarnation,
                              world->reading_us, 0 });
       break;
-    case DISPATCH_ASK:
+    case DISPATCH_QUERY_FENCE:
       post (world, (Packet){ KIND_FENCE, world->at, world->counter, world->incarnation,
                              world->reading_us, 0 });
       break;
     case DISPATCH_ANSWER:
-      world->over = TRUE;
+      world->ended = TRUE;
       break;
     default:
       break;
@@ -223,15 +223,16 @@
 /* Gives an answer to the ingress, which ignores it unless it is about the latest attempt
    and answers the current step. */
 static void
-hear (World *world, const Packet *packet)
+receive (World *world, const Packet *packet)
 {
-  if (world->over || packet->counter != world->counter)
+  if (world->ended || packet->counter != world->counter)
     return;
   if (packet->kind == KIND_SENT && world->step.kind == DISPATCH_SEND)
     take_step (world,
                dispatch_sent (world->dispatch, packet->report, REASON_OVERLOAD, 0));
-  else if (packet->kind == KIND_ASKED && world->step.kind == DISPATCH_ASK)
-    take_step (world, dispatch_asked (world->dispatch, packet->report, REASON_FENCED, 0));
+  else if (packet->kind == KIND_ASKED && world->step.kind == DISPATCH_QUERY_FENCE)
+    take_step (world,
+               dispatch_queried (world->dispatch, packet->report, REASON_FENCED, 0));
 }
 
 static void
@@ -258,7 +259,7 @@
       handle_fence (world, &packet);
       break;
     default:
-      hear (world, &packet);
+      receive (world, &packet);
       break;
     }
 }
@@ -280,12 +281,12 @@
 static void
 time_out (World *world)
 {
-  if (world->over || clock_now (world->clock) < world->due_us)
+  if (world->ended || clock_now (world->clock) < world->due_us)
     return;
   if (world->step.kind == DISPATCH_SEND)
     take_step (world, dispatch_sent (world->dispatch, DISPATCH_LOST, REASON_LOST, 0));
-  else if (world->step.kind == DISPATCH_ASK)
-    take_step (world, dispatch_asked (world->dispatch, DISPATCH_LOST, REASON_LOST, 0));
+  else if (world->step.kind == DISPATCH_QUERY_FENCE)
+    take_step (world, dispatch_queried (world->dispatch, DISPATCH_LOST, REASON_LOST, 0));
   else if (world->step.kind == DISPATCH_PAUSE)
     take_step (world, dispatch_resume (world->dispatch));
 }
@@ -295,9 +296,9 @@
 {
   if (world->executions > 1)
     fail_msg ("schedule %u: the request ran %u times", seed, world->executions);
-  if (world->over && world->step.outcome == OUTCOME_NOT_RUN && world->executions > 0)
+  if (world->ended && world->step.outcome == OUTCOME_NOT_RUN && world->executions > 0)
     fail_msg ("schedule %u: 'not run' was reported, but the request ran", seed);
-  if (world->over && world->step.outcome == OUTCOME_DONE && world->executions != 1)
+  if (world->ended && world->step.outcome == OUTCOME_DONE && world->executions != 1)
     fail_msg ("schedule %u: 'done' was reported, but the request did not run", seed);
 }
 
@@ -321,20 +322,20 @@
   take_step (&world, dispatch_begin (world.dispatch));
   for (guint step = 0; step < STEPS_MAX; step++)
     {
-      guint what = (guint)g_rand_int_range (world.rand, 0, 100);
+      guint event = (guint)g_rand_int_range (world.rand, 0, 100);
 
-      if (what < 50)
+      if (event < 50)
         deliver (&world);
-      else if (what < 75)
+      else if (event < 75)
         progress (&world, (guint)g_rand_int_range (world.rand, 0, SIDECARS));
-      else if (what < 98)
+      else if (event < 98)
         pass_time (&world);
       else
         boot (&world, (guint)g_rand_int_range (world.rand, 0, SIDECARS));
       time_out (&world);
       check (&world, seed);
     }
-  outcome = world.over ? world.step.outcome : OUTCOME_UNKNOWN;
+  outcome = world.ended ? world.step.outcome : OUTCOME_UNKNOWN;
   for (guint i = 0; i < SIDECARS; i++)
     {
       fence_destroy (world.sidecars[i].fence);
--- a/io/tests/test-slow-readers.c
+++ b/io/tests/test-slow-readers.c
@@ -30,9 +30,9 @@
   Loop *loop;
   HttpServer *server;
   char *body;
-  guint stall_close;
+  guint stalls;
   guint full;
-  gint over; /* the callers' thread has ended */
+  gint thread_ended; /* the callers' thread; accessed atomically */
 } Fixture;
 
 static void
@@ -47,7 +47,7 @@
 on_stall (gsize left, gpointer data)
 {
   assert_in_range (left, 1, ANSWER_BYTES);
-  ((Fixture *)data)->stall_close++;
+  ((Fixture *)data)->stalls++;
 }
 
 static void
@@ -57,7 +57,7 @@
 }
 
 static int
-ask (void)
+send_request (void)
 {
   static const char request[] = "GET /large HTTP/1.1\r\nHost: a\r\n\r\n";
   struct sockaddr_in to;
@@ -109,7 +109,7 @@
   int fds[READERS];
 
   for (guint i = 0; i < READERS; i++)
-    fds[i] = ask ();
+    fds[i] = send_request ();
   g_usleep (STALLS_CLOSED_US);
   for (guint i = 0; i < READERS; i++)
     {
@@ -118,19 +118,19 @@
       seen->refused += refused;
       close (fds[i]);
     }
-  fds[0] = ask ();
+  fds[0] = send_request ();
   seen->last = read_all (fds[0], &refused);
   close (fds[0]);
-  g_atomic_int_set (&fixture->over, TRUE);
+  g_atomic_int_set (&fixture->thread_ended, TRUE);
   return seen;
 }
 
 static gint64
-look (gpointer data)
+quit_if_ended (gpointer data)
 {
   Fixture *fixture = data;
 
-  if (g_atomic_int_get (&fixture->over))
+  if (g_atomic_int_get (&fixture->thread_ended))
     loop_quit (fixture->loop);
   return PAUSE_US;
 }
@@ -151,7 +151,7 @@
   assert_non_null (fixture.server);
   http_server_set_stall_func (fixture.server, on_stall, &fixture);
   http_server_set_full_func (fixture.server, on_full, &fixture);
-  loop_add_prepare (fixture.loop, look, &fixture);
+  loop_add_prepare (fixture.loop, quit_if_ended, &fixture);
   thread = g_thread_new ("callers", callers, &fixture);
   loop_run (fixture.loop);
   seen = g_thread_join (thread);
@@ -159,7 +159,7 @@
   assert_in_range (seen->cut, 1, HELD_MAX / ANSWER_BYTES + 1);
   assert_int_equal (seen->refused, READERS - seen->cut);
   assert_int_equal (fixture.full, seen->refused);
-  assert_int_equal (fixture.stall_close, seen->cut);
+  assert_int_equal (fixture.stalls, seen->cut);
   /* The stalled connections have been closed, and there is room again. */
   assert_true (seen->last > ANSWER_BYTES);
   assert_int_equal (http_server_active (fixture.server), 0);
