--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The front door: each target does all the set-up that it needs on a bare Debian machine.
+# Entry points. Each target first installs any missing Debian packages (scripts/setup.sh).
 BUILD ?= build
 
 .PHONY: demo check bench lint model soak build setup
--- a/core/include/core/config.h
+++ b/core/include/core/config.h
@@ -195,9 +195,9 @@
 ConfigPart *snapshot_part_by_digest (const Snapshot *snapshot, const char *digest);
 guint snapshot_route_count (const Snapshot *snapshot);
 guint snapshot_account_count (const Snapshot *snapshot);
-/* Returns whether any account was ever configured, because a plan that removes the last
-   account of a shard keeps the empty shard. The time does not depend on the number of
-   accounts. */
+/* Returns whether any account is or was configured: shards that a plan has emptied are
+   kept, so this stays true after the last account is removed. The time does not depend on
+   the number of accounts. */
 gboolean snapshot_has_accounts (const Snapshot *snapshot);
 
 /* Returns the route for `method` with the longest prefix of `path` among those for
